--- a/cmd/fawnglade-lab/distribution.go
+++ b/cmd/fawnglade-lab/distribution.go
@@ -51,7 +51,7 @@
 func addSizeFlags(c *cobra.Command, size *distsim.Size) {
 	flags := c.Flags()
 	flags.IntVar(&size.Nodes, "nodes", size.Nodes, "number of hollow nodes")
-	flags.IntVar(&size.Regions, "regions", size.Regions, "number of regions")
+	flags.IntVar(&size.Regions, "regions", size.Regions, "regions")
 	flags.IntVar(&size.Zones, "zones", size.Zones, "number of zones over all regions")
 	flags.IntVar(&size.UpperRelays, "upper", size.UpperRelays, "number of upper relays, which follow the origin")
 	flags.IntVar(&size.LowerRelays, "lower", size.LowerRelays, "number of lower relays, which nodes follow")
--- a/cmd/fawnglade-lab/scale_test.go
+++ b/cmd/fawnglade-lab/scale_test.go
@@ -113,7 +113,7 @@
 	}
 	code, out, stderrText := runLab(t, "scale", "--from", path, "--plot", picture)
 	if code != exitPassed || stderrText != "" || !strings.Contains(out, "services.memory ") || !strings.Contains(out, "an instance of the decisions with 24 servers stands for one") {
-		t.Error("scale --from: want exit code 0, no stderr and the stored table; got ", code, out, stderrText)
+		t.Error(code, out, stderrText)
 	}
 	if code, _, stderrText := runLab(t, "scale", "--from", path, "--design-servers", "5"); code != exitNotRun || !strings.Contains(stderrText, "from") {
 		t.Error("scale --from with --design-servers: want exit code 2 and an error about --from; got ", code, stderrText)
--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -198,7 +198,7 @@
 // the verdict counts it.
 func TestVerdictDetectsEachFault(t *testing.T) {
 	last := func(all []distribution.Change) distribution.Change { return all[len(all)-1] }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		inject   func([]distribution.Change, *fakeSubscriber) []distribution.Change
 		detected func(*Phase) bool
 	}{
@@ -254,7 +254,7 @@
 			return all
 		}, func(a *Phase) bool { return a.WrongNodes == 1 && strings.Contains(a.Example, "does not follow") }},
 	} {
-		if a := runFaultyNode(t, c.inject); !c.detected(a) {
+		if a := runFaultyNode(t, test.inject); !test.detected(a) {
 			t.Errorf("%s: the verdict does not show the fault, or shows another: got %+v", name, a)
 		}
 	}
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -9,22 +9,22 @@
 	"fawnglade/policy"
 )
 
-// What the probes of the decisions have in common: an instance without sockets, whose effects do nothing, and requests
-// to it. What the node around the decisions costs is not in these figures.
+// Common code of the probes of the decisions: a balancer without sockets, whose effects do nothing, and requests to it.
+// The cost of the rest of the node is not part of these figures.
 
 const (
-	tickTimer      = 1                        // cookie of the decisions' own timer, each second
-	startTime      = policy.Time(1000 * 1e9)  // of virtual time, nanoseconds
-	tickInterval   = policy.Time(time.Second) // between two timers
-	changeInterval = policy.Time(1_000_000)   // between two changes, nanoseconds
-	probeNode      = 17                       // index of the node that is measured
+	tickTimer      = 1                        // cookie of the balancer's timer, which fires each second
+	startTime      = policy.Time(1000 * 1e9)  // start of virtual time, nanoseconds
+	tickInterval   = policy.Time(time.Second) // between two calls of the timer
+	changeInterval = policy.Time(1_000_000)   // between two changes of the list, nanoseconds
+	probeNode      = 17                       // index of the measured node
 	zones          = 31
 	podSize        = 40
-	// scatter is a prime: steps of it visit indexes in no order that a cache likes.
+	// scatter is a prime stride, so that indexes are visited in an order without cache locality.
 	scatter = 7919
 )
 
-// discardEffects notes the last attempt, and does nothing else.
+// discardEffects records the last attempt and ignores all other effects.
 type discardEffects struct {
 	endpoint policy.EndpointID
 	sent     bool
@@ -59,17 +59,17 @@
 // Gossip implements policy.Effects.
 func (*discardEffects) Gossip(policy.GossipMessage) {}
 
-// endpointInfos returns so many active endpoints, over all zones and pods.
+// endpointInfos returns n active endpoints, spread over all zones and pods.
 func endpointInfos(n int) []policy.EndpointInfo {
 	list := make([]policy.EndpointInfo, n)
 	for i := range list {
-		id := policy.EndpointID(uint32(i+1) * 2654435761) // spread over all values, as hashes of names are
+		id := policy.EndpointID(uint32(i+1) * 2654435761) // spread over the whole range, like hashes of names
 		list[i] = policy.EndpointInfo{ID: id, Zone: i % zones, Pod: i / podSize, Weight: 1}
 	}
 	return list
 }
 
-// balancerSettings are those of one node of the design with a number of classes and tenants.
+// balancerSettings returns the settings of a node of the design size with the given numbers of classes and tenants.
 func balancerSettings(classes, tenants int) policy.Settings {
 	s := policy.Settings{
 		NodeCount: int(DefaultDesign.Nodes), NodeIndex: probeNode, MayCancel: true, MaxAttempts: 3, StreamsPerConnection: 1,
@@ -84,7 +84,7 @@
 	return s
 }
 
-// instance is one instance of the decisions in virtual time.
+// instance is a balancer in virtual time.
 type instance struct {
 	balancer *policy.Balancer
 	effects  *discardEffects
@@ -93,7 +93,7 @@
 	now      policy.Time
 }
 
-// newInstance makes one that has been given an endpoint list.
+// newInstance returns an instance with the given endpoint list.
 func newInstance(classes, tenants int, seed uint64, list []policy.EndpointInfo) *instance {
 	effects := &discardEffects{}
 	in := &instance{
@@ -104,7 +104,7 @@
 	return in
 }
 
-// tickCost returns the mean processor time of the timer of each second, percent of a core.
+// tickCost returns the mean CPU time of the timer that fires each second, in percent of a core.
 func (in *instance) tickCost(atLeast int, seconds float64) float64 {
 	return 100 * meanCPUTime(atLeast, seconds, func(int) {
 		in.now += tickInterval
@@ -113,26 +113,27 @@
 }
 
 const (
-	minRequests      = 500 // give a quantile of 99 in 100
+	minRequests      = 500 // enough for a 99th percentile
 	requestsInFlight = 32
-	queueReports     = 3 // different queue lengths that are reported
+	queueReports     = 3 // number of different queue lengths in load reports
 )
 
-// pendingRequest is one in flight; its ID is empty if no attempt was started.
+// pendingRequest is a request in flight. Its ID is empty if no attempt was started.
 type pendingRequest struct {
 	id        policy.RequestID
 	endpoint  policy.EndpointID
 	startedAt policy.Time
 }
 
-// requestCosts are processor times of single requests, seconds.
+// requestCosts holds the CPU times of single requests, in seconds.
 type requestCosts struct {
 	sorted []float64
 	sum    float64
 }
 
-// requestCosts has the instance take requests at a node's part of the peak rate, with a timer each second, and returns
-// the processor time of each: of so many, or of as many as fit into a time, but of minRequests at least.
+// requestCosts sends requests to the instance at a node's share of the peak rate, with a timer each second, and returns
+// the CPU time of each. It stops after the given number of requests, or after the given seconds of CPU time, but not
+// before minRequests.
 func (in *instance) requestCosts(d *Design, requests int, seconds float64) requestCosts {
 	var inFlight [requestsInFlight]pendingRequest
 	ids := make([]policy.RequestID, requests)
@@ -171,7 +172,7 @@
 	return costs
 }
 
-// exchange ends the request before in the same place, and starts the next.
+// replaceRequest ends the previous request in the same slot, and starts the next one.
 func (in *instance) replaceRequest(i int, id policy.RequestID, previous *pendingRequest) {
 	if previous.id != "" {
 		in.balancer.AttemptEnded(in.now, policy.AttemptResult{
@@ -190,10 +191,10 @@
 	})
 }
 
-// mean returns microseconds.
+// mean returns the mean in microseconds.
 func (c *requestCosts) mean() float64 { return 1e6 * c.sum / float64(len(c.sorted)) }
 
-// quantile returns microseconds.
+// quantile returns a quantile in microseconds.
 func (c *requestCosts) quantile(fraction float64) float64 {
 	i := min(int(fraction*float64(len(c.sorted))), len(c.sorted)-1)
 	return 1e6 * c.sorted[i]
--- a/internal/lab/scale/decisions.go
+++ b/internal/lab/scale/decisions.go
@@ -7,7 +7,7 @@
 	"fawnglade/policy"
 )
 
-// Methods of measuring.
+// Methods of measurement.
 const (
 	methodHeap      = "heap and stacks in use after a collection, less what was there before"
 	methodProcessor = "processor time of the process, collections among it"
@@ -86,14 +86,15 @@
 	v["tick"] = in.tickCost(5, seconds/2)
 	costs := in.requestCosts(&e.Design, pick(e, 10000, 2000), 4)
 	v["request"], v["request99"] = costs.mean(), costs.quantile(0.99)
-	// One loop does all: a request that comes during a tick waits for it. Of requests spread evenly over a second, the
-	// worst in 100 come in the first 10 ms of the tick, or in all of it if it is shorter.
+	// The node has one event loop, so a request that arrives during a tick waits for its end. Of requests spread evenly
+	// over a second, the 1% that wait longest arrive in the first 10 ms of the tick, or during all of it if it is
+	// shorter.
 	v["added99"] = v["request99"] + max(1e4*v["tick"]-1e4, 0)
 	runtime.KeepAlive(in)
 	return Measurement{Values: v}, nil
 }
 
-// changeOne drains an endpoint at an even index, and has the same one start anew at the next.
+// changeOne drains an endpoint if i is even, and restarts the same endpoint if i is odd.
 func (in *instance) changeOne(list []policy.EndpointInfo, i int) {
 	in.now += changeInterval
 	changed := list[i/2*scatter%len(list)]
@@ -106,7 +107,7 @@
 	in.balancer.EndpointsUpdated(in.now, []policy.EndpointInfo{changed}, false)
 }
 
-// changeMany changes the state of endpoints in one update: to active at an even index, to draining at an odd one.
+// changeMany changes the state of endpoints in one update: to active if i is even, to draining if it is odd.
 func (in *instance) changeMany(list []policy.EndpointInfo, i int) {
 	in.now += changeInterval
 	update := make([]policy.EndpointInfo, len(list))
--- a/internal/lab/scale/design.go
+++ b/internal/lab/scale/design.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Design is the size of deployment that figures are extrapolated to.
+// Design is the deployment size that figures are extrapolated to.
 type Design struct {
 	Nodes                      float64 `toml:"nodes" json:"nodes"`
 	Endpoints                  float64 `toml:"servers" json:"servers"`
@@ -19,25 +19,26 @@
 	Tenants                    float64 `toml:"tenants" json:"tenants"`
 	Regions                    float64 `toml:"regions" json:"regions"`
 	Zones                      float64 `toml:"zones" json:"zones"`
-	RequestsPerSecond          float64 `toml:"requests_s" json:"requests_s"` // of the fleet at its peak
+	RequestsPerSecond          float64 `toml:"requests_s" json:"requests_s"` // peak rate of the fleet
 	ConfigurationChangesPerDay float64 `toml:"configurations_day" json:"configurations_day"`
-	FailuresPerDay             float64 `toml:"failures_day" json:"failures_day"` // of endpoints, on an ordinary day
-	RestartsPerDay             float64 `toml:"restarts_day" json:"restarts_day"` // of endpoints, with replacements
-	ZoneEndpoints              float64 `toml:"zone_servers" json:"zone_servers"` // that are lost at once with a zone
+	FailuresPerDay             float64 `toml:"failures_day" json:"failures_day"` // failures of endpoints on an ordinary day
+	RestartsPerDay             float64 `toml:"restarts_day" json:"restarts_day"` // restarts of endpoints on an ordinary day, including replacements
+	ZoneEndpoints              float64 `toml:"zone_servers" json:"zone_servers"` // endpoints of one zone, which can fail at once
 }
 
-// Limits are what control may cost a node, and how soon and how little it may be felt.
+// Limits bounds the cost of a node's control plane, the delays of changes and starts, and the latency added to
+// requests.
 type Limits struct {
-	Cores          float64 `toml:"cores" json:"cores"`           // for control, of a node's
-	MemoryBytes    float64 `toml:"bytes" json:"bytes"`           // for control, of a node's
-	BytesPerSecond float64 `toml:"bytes_s" json:"bytes_s"`       // for control, of a node
-	Machines       float64 `toml:"machines" json:"machines"`     // set aside for control
-	PropagationS   float64 `toml:"in_force_s" json:"in_force_s"` // until a change is in force everywhere, seconds
-	ReadyS         float64 `toml:"ready_s" json:"ready_s"`       // until nine in ten of restarted nodes are ready, seconds
-	AddedLatencyS  float64 `toml:"added_s" json:"added_s"`       // to 99 in 100 requests, seconds
+	Cores          float64 `toml:"cores" json:"cores"`           // CPU cores of a node that control may use
+	MemoryBytes    float64 `toml:"bytes" json:"bytes"`           // memory of a node that control may use
+	BytesPerSecond float64 `toml:"bytes_s" json:"bytes_s"`       // network traffic of a node for control
+	Machines       float64 `toml:"machines" json:"machines"`     // machines reserved for control
+	PropagationS   float64 `toml:"in_force_s" json:"in_force_s"` // seconds until a change is in force at all nodes
+	ReadyS         float64 `toml:"ready_s" json:"ready_s"`       // seconds until 90% of restarted nodes are ready
+	AddedLatencyS  float64 `toml:"added_s" json:"added_s"`       // seconds added to the latency of requests, 99th percentile
 }
 
-// DefaultDesign and DefaultLimits hold unless a file or a flag replaces them.
+// DefaultDesign and DefaultLimits are used unless a file or a flag overrides them.
 var (
 	DefaultDesign = Design{
 		Nodes: 5300, Endpoints: 120_000, Services: 5000, Routes: 86_000, Tenants: 980_000, Regions: 10, Zones: 31,
@@ -50,21 +51,21 @@
 
 const (
 	daySeconds        = 86_400
-	changesPerRestart = 2 // of the endpoint list: it drains, it is active again
+	changesPerRestart = 2 // changes of the endpoint list: to draining and back to active
 )
 
-// EndpointChangesPerSecond is how often the endpoint list changes on an ordinary day, where a failure is one change.
+// EndpointChangesPerSecond returns the rate of endpoint list changes on an ordinary day. A failure is one change.
 func (d *Design) EndpointChangesPerSecond() float64 {
 	return (changesPerRestart*d.RestartsPerDay + d.FailuresPerDay) / daySeconds
 }
 
-// configurationChangesPerSecond is how often configuration changes on an ordinary day.
+// configurationChangesPerSecond returns the rate of configuration changes on an ordinary day.
 func (d *Design) configurationChangesPerSecond() float64 {
 	return d.ConfigurationChangesPerDay / daySeconds
 }
 
-// ReadDesign reads a TOML file with [design] and [limits] over the given values; keys that are not in the file keep
-// theirs.
+// ReadDesign reads a TOML file with [design] and [limits] into the given values. Values whose keys are not in the file
+// are unchanged.
 func ReadDesign(path string, d *Design, l *Limits) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -85,17 +86,17 @@
 	return check(path, d, l)
 }
 
-// unknownKeys names every key that there is not.
+// unknownKeys returns an error that names every unknown key.
 func unknownKeys(path string, unknown *toml.StrictMissingError) error {
 	var problems []error
 	for _, e := range unknown.Errors {
-		problems = append(problems, fmt.Errorf("%s: %s: expected a key of [design] or [limits], found none of that name",
+		problems = append(problems, fmt.Errorf("%s: %s: expected a key of [design] or [limits], found an unknown key",
 			path, strings.Join(e.Key(), ".")))
 	}
 	return errors.Join(problems...)
 }
 
-// check names every figure that is not positive.
+// check returns an error that names every figure that is not positive.
 func check(path string, d *Design, l *Limits) error {
 	var problems []error
 	for _, f := range []struct {
@@ -129,7 +130,7 @@
 	return errors.Join(problems...)
 }
 
-// The limits, in the units that figures have.
+// The functions below return limits in the units of the figures.
 func limitMemory(_ *Design, l *Limits) float64      { return l.MemoryBytes }
 func limitCores(_ *Design, l *Limits) float64       { return 100 * l.Cores } // percent of a core
 func limitNetwork(_ *Design, l *Limits) float64     { return l.BytesPerSecond }
@@ -137,6 +138,6 @@
 func limitPropagation(_ *Design, l *Limits) float64 { return l.PropagationS }
 func limitAdded(_ *Design, l *Limits) float64       { return l.AddedLatencyS * 1e6 } // microseconds
 
-// limitChange is what one change of an endpoint may take if an ordinary day's changes take all that control may,
-// milliseconds.
+// limitChange returns the CPU time of one endpoint change, in milliseconds, with which an ordinary day's changes would
+// use the whole CPU limit.
 func limitChange(d *Design, l *Limits) float64 { return 1e3 * l.Cores / d.EndpointChangesPerSecond() }
--- a/internal/lab/scale/discovery.go
+++ b/internal/lab/scale/discovery.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// A stand-in for discovery on loopback, which sends a measured node the updates that the probe gives it, and counts the
+// An emulated discovery service on loopback. It sends the updates of a probe to the measured nodes and counts the
 // bytes.
 
 const (
 	discoveryReadTimeout  = 5 * time.Second
 	discoveryWriteTimeout = 20 * time.Second
-	heartbeatInterval     = time.Second // of empty lines
+	heartbeatInterval     = time.Second // interval of empty lines on a watch
 )
 
 const watchHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nConnection: close\r\n\r\n"
@@ -32,13 +32,13 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%02d", i%zones) }
 
-// entryText is an entry of discovery's list.
+// entryText returns an entry of discovery's endpoint list.
 func entryText(i int, health string, startedMs int64) []byte {
 	return fmt.Appendf(nil, `{"host":"%s","dial":"%s","site":"%s","class":"m","block":%d,"health":%q,"share":1.0,"born_ms":%d}`,
 		endpointName(i), endpointAddress(i), zoneName(i), i/podSize, health, startedMs)
 }
 
-// updateText is a line of discovery's watch.
+// updateText returns a line of discovery's watch.
 func updateText(version int64, complete bool, entries ...[]byte) []byte {
 	text := fmt.Appendf(nil, `{"seq":%d,"whole":%t,"hosts":[`, version, complete)
 	for i, entry := range entries {
@@ -50,24 +50,24 @@
 	return append(text, "]}\n"...)
 }
 
-// discovery sends every watch a complete list, then each update, and an empty line each second.
+// discovery serves watches. Each receives a complete list, then every update, and an empty line each second.
 type discovery struct {
 	listener      net.Listener
 	initialUpdate []byte
 	running       sync.WaitGroup
 
-	mu      sync.Mutex               // guards what follows
-	watches map[net.Conn]*sync.Mutex // with the lock of their writes
+	mu      sync.Mutex               // guards the fields below
+	watches map[net.Conn]*sync.Mutex // with the mutex that serializes writes to them
 	stats   discoveryStats
 }
 
-// discoveryStats are counts since the start.
+// discoveryStats counts since the start of discovery.
 type discoveryStats struct {
 	calls int
 	bytes float64 // sent
 }
 
-// newDiscovery listens with a list of so many endpoints.
+// newDiscovery starts a discovery with a list of the given number of endpoints.
 func newDiscovery(endpoints int) (*discovery, error) {
 	entries := make([][]byte, endpoints)
 	for i := range entries {
@@ -97,7 +97,7 @@
 	}
 }
 
-// close ends the listener and all watches, and waits for them.
+// close closes the listener and all watches, and waits for their goroutines.
 func (d *discovery) close() {
 	d.listener.Close()
 	d.mu.Lock()
@@ -119,7 +119,7 @@
 	return err
 }
 
-// serve serves one watch until its client goes.
+// serve serves one watch until its client disconnects.
 func (d *discovery) serve(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(discoveryReadTimeout))
 	if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
@@ -141,7 +141,7 @@
 	conn.SetReadDeadline(time.Time{})
 	closed := make(chan struct{})
 	go func() {
-		_, _ = io.Copy(io.Discard, conn) // ends when the client goes, with or without an error
+		_, _ = io.Copy(io.Discard, conn) // returns when the client disconnects, with or without an error
 		close(closed)
 	}()
 	for {
@@ -156,7 +156,7 @@
 	}
 }
 
-// send writes an update to all watches.
+// send sends an update to all watches.
 func (d *discovery) send(update []byte) error {
 	d.mu.Lock()
 	watches := maps.Clone(d.watches)
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -13,8 +13,8 @@
 	"fawnglade/internal/store"
 )
 
-// Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache,
-// not from a disk after a power loss.
+// Probe of the persisted state: the packages nodestate and store without a node. Files are read from the page cache, so
+// the figures do not include disk reads after a power loss.
 
 const methodClock = "a clock"
 
@@ -94,7 +94,7 @@
 	values    Values
 }
 
-// measureWrites measures a new store, and closes it.
+// measureWrites measures writes to a new store, and closes the store.
 func (d *diskMeasurement) measureWrites() (err error) {
 	stateStore, _, err := store.Open(d.path, store.Options{})
 	if err != nil {
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// states returns so many states as are needed for all endpoints: one keeps nodestate.MaxEndpoints, and the store is to
-// be measured at every size.
+// states returns as many states as all endpoints need. One state keeps at most nodestate.MaxEndpoints, but the store is
+// measured at larger sizes too.
 func (d *diskMeasurement) states() []*nodestate.State {
 	var states []*nodestate.State
 	for from := 0; from < d.endpoints; from += nodestate.MaxEndpoints {
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// measureChanges drains endpoints one by one, and writes after each.
+// measureChanges drains endpoints one by one, and writes the state after each.
 func (d *diskMeasurement) measureChanges(stateStore *store.Store, state *nodestate.State) error {
 	list := stateEndpoints(0, min(nodestate.MaxEndpoints, d.endpoints))
 	changes := pick(d.env, 50, 5)
@@ -164,7 +164,7 @@
 	return err
 }
 
-// measureOpen measures a start from the store, and returns how many endpoints the state keeps.
+// measureOpen measures a start from the store, and returns the number of endpoints that the state has kept.
 func (d *diskMeasurement) measureOpen() (kept int, err error) {
 	before := heapInUse()
 	began := time.Now()
@@ -184,7 +184,7 @@
 	}
 	d.values["opened"] = time.Since(began).Seconds()
 	kept = state.EndpointCount()
-	state = nil // its memory is not the store's
+	state = nil // to measure the memory of the store alone
 	d.values["index"] = heapInUse() - before
 	runtime.KeepAlive(stateStore)
 	return kept, nil
@@ -203,7 +203,7 @@
 	return state, err
 }
 
-// writeChanges writes what has changed in a state.
+// writeChanges writes the changes of a state to the store.
 func writeChanges(stateStore *store.Store, state *nodestate.State) error {
 	var batch store.Batch
 	for _, change := range state.Changes() {
@@ -216,7 +216,7 @@
 	return stateStore.Apply(&batch)
 }
 
-// stateEndpoints returns n endpoints from a number on.
+// stateEndpoints returns n endpoints with numbers from first on.
 func stateEndpoints(first, n int) []nodestate.Endpoint {
 	list := make([]nodestate.Endpoint, n)
 	for k := range list {
--- a/internal/lab/scale/endpointgossip.go
+++ b/internal/lab/scale/endpointgossip.go
@@ -7,18 +7,18 @@
 	"fawnglade/internal/endpointgossip"
 )
 
-// Probe of the endpoint list by gossip: one node without discovery asks nodes that have it. Virtual time, nothing is
-// lost. The node's own bounds hold.
+// Probe of the endpoint list by gossip: a node without discovery requests the list from nodes that have it. The probe
+// runs in virtual time without message loss, with the node's own limits on sizes and rates.
 
 const (
-	informedNodes  = 4                // with a list from discovery
-	gossipTick     = 50 * millisecond // ten in a round of 0.5 s
+	informedNodes  = 4                // nodes with a list from discovery
+	gossipTick     = 50 * millisecond // ten per protocol period of 0.5 s
 	ticksPerSecond = int(second / gossipTick)
 	maxGossipTicks = 20 * ticksPerSecond
 	gossipStart    = int64(1_700_000_000e9) // Unix nanoseconds
 )
 
-// mailbox holds payloads until their receiver's next tick.
+// mailbox holds payloads until the next tick of their receiver.
 type mailbox struct {
 	payloads [][]payload // by receiver
 }
@@ -28,7 +28,7 @@
 	data []byte
 }
 
-// gossipLink is one node's access to the others.
+// gossipLink connects one node to the others. It implements endpointgossip.Transport.
 type gossipLink struct {
 	mailbox *mailbox
 	self    int
@@ -79,12 +79,12 @@
 	}
 }
 
-// gossipGroup is informed nodes and, as the last, one without discovery.
+// gossipGroup is a group of informed nodes and, as the last one, a node without discovery.
 type gossipGroup struct {
 	now       int64
 	mailbox   *mailbox
 	exchanges []*endpointgossip.Exchange
-	bytes     []float64 // to the last node, by second
+	bytes     []float64 // received by the last node, by second
 }
 
 func measureEndpointGossip(_ context.Context, _ *Env, size float64) (Measurement, error) {
@@ -122,7 +122,7 @@
 	return list
 }
 
-// addInformed adds the nodes with a list, which they are ready to answer with.
+// addInformed adds the informed nodes, which have the list and are ready to send it.
 func (g *gossipGroup) addInformed(list []endpointgossip.Endpoint) {
 	for i := range informedNodes {
 		exchange := endpointgossip.New(uint64(i), gossipLink{g.mailbox, i}, g.now, 0, nil, false)
@@ -132,7 +132,8 @@
 	}
 }
 
-// runUntilListAccepted lets time pass until the last node has taken a list, and returns after how many ticks; 0: it has not.
+// runUntilListAccepted advances time until the last node has accepted a list, and returns the number of ticks; 0: it
+// did not within maxGossipTicks.
 func (g *gossipGroup) runUntilListAccepted() int {
 	for ticks := range maxGossipTicks {
 		g.now += gossipTick
@@ -153,7 +154,7 @@
 	return 0
 }
 
-// receive has a node take its payloads, and tells whether it is the last one and has taken a list.
+// receive delivers the payloads of a node. It reports whether the node is the last one and has accepted a list.
 func (g *gossipGroup) receive(node int) (accepted bool) {
 	payloads := g.mailbox.payloads[node]
 	g.mailbox.payloads[node] = nil
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -6,30 +6,30 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// maxDeviation from a line, of its own value, up to which a point is on it.
+// maxDeviation is the relative deviation from a line up to which a point counts as on the line.
 const maxDeviation = 0.25
 
-// smallest values that are divided by, or taken the logarithm of.
+// Lower bounds of divisors and of arguments of logarithms.
 const (
 	minSquare = 1e-24
 	minValue  = 1e-12
 )
 
-// Fit is a line through measured points by least squares of relative errors: each point has a weight of one over its
-// value squared, so that small sizes count as much as large ones. Values are in the unit of the figure.
+// Fit is a line fitted to measured points by least squares of relative errors: each point has the weight 1/value^2, so
+// that small sizes count as much as large ones. Values are in the unit of the figure.
 type Fit struct {
-	Slope        float64 `json:"slope"` // for one more of the size
+	Slope        float64 `json:"slope"` // increase of the value per unit of size
 	Intercept    float64 `json:"intercept"`
 	Residual     float64 `json:"residual"`                // root mean square of the relative errors
-	BreaksBeyond float64 `json:"breaks_beyond,omitempty"` // last size up to which all points are within maxDeviation of a line; 0: it holds
-	Power        float64 `json:"power,omitempty"`         // beyond a break: the exponent with which the last two points grow
-	Level        float64 `json:"level,omitempty"`         // beyond a break: the value at size 1 by that exponent
+	BreaksBeyond float64 `json:"breaks_beyond,omitempty"` // largest size up to which all points are within maxDeviation of a line; 0: all points are
+	Power        float64 `json:"power,omitempty"`         // if the line breaks: exponent of the power law through the last two points
+	Level        float64 `json:"level,omitempty"`         // if the line breaks: value of that power law at size 1
 }
 
-// regression is a weighted line with the relative errors of its points.
+// regression is a weighted regression line with the relative errors of the points.
 type regression struct {
 	slope, intercept float64
-	residual, worst  float64 // root mean square, and largest
+	residual, worst  float64 // root mean square and maximum of the relative errors
 }
 
 func regress(points []Point) regression {
@@ -51,7 +51,7 @@
 	return r
 }
 
-// fitLine fits a line, and finds where it breaks; with fewer than two points there is none.
+// fitLine fits a line and determines where it breaks. With fewer than two points it returns the zero Fit.
 func fitLine(points []Point) Fit {
 	if len(points) < 2 {
 		return Fit{}
@@ -62,7 +62,7 @@
 		return fit
 	}
 	fit.BreaksBeyond = points[pointsOnLine(points)-1].Size
-	// The last two alone: an earlier point would mix growth before the break with growth beyond it.
+	// Only the last two points: earlier ones would mix growth before the break with growth after it.
 	var logSizes, logValues []float64
 	for _, p := range points[len(points)-2:] {
 		logSizes = append(logSizes, math.Log(p.Size))
@@ -73,7 +73,8 @@
 	return fit
 }
 
-// pointsOnLine returns how many of the first points are on one line, two at least, where all of them are not.
+// pointsOnLine returns the number of leading points that are on one line, at least two. It is called if not all points
+// are on one line.
 func pointsOnLine(points []Point) int {
 	for n := 3; n < len(points); n++ {
 		if regress(points[:n]).worst > maxDeviation {
@@ -83,8 +84,9 @@
 	return max(2, len(points)-1)
 }
 
-// at returns the value at a size and its source: measured, there or between two sizes; by the line; where the line
-// breaks, by the power with which the last two points grow; where the line falls below zero, the last point's own.
+// valueAt returns the value at a size and its source: measured at this size or interpolated between two sizes;
+// extrapolated by the line or, if the line breaks, by the power law of the last two points; or the value of the last
+// point, if the line falls below zero.
 func (f *Fit) valueAt(points []Point, size float64) (value float64, source string) {
 	if len(points) == 0 {
 		return 0, "not measured"
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -103,15 +103,15 @@
 	if _, err := h.real.waitUntilReady(ctx, readyTimeout); err != nil {
 		return m, err
 	}
-	// Until the nodes have told one another of their start.
+	// Wait until the nodes have gossiped one another's start.
 	time.Sleep(pick(e, 5*time.Second+time.Duration(size)*100*time.Millisecond, 0))
 	return m, h.measure()
 }
 
-// hollowMeasurement is a process of hollow nodes with a real one beside it.
+// hollowMeasurement is a process of hollow nodes and a real node process in the same fleet.
 type hollowMeasurement struct {
 	env       *Env
-	size      float64 // hollow nodes
+	size      float64 // number of hollow nodes
 	endpoints int
 	fleet     hollowFleet
 	discovery *discovery
@@ -120,7 +120,7 @@
 	values    Values
 }
 
-// place finds addresses for all nodes.
+// assignAddresses chooses free addresses for all nodes.
 func (h *hollowMeasurement) assignAddresses() error {
 	const addressesOfNode = 3
 	nodes := int(h.size) + 1
@@ -166,13 +166,13 @@
 	return nil
 }
 
-// usage is what both processes used over a time, seconds.
+// usage is the CPU time of both processes over some time, in seconds.
 type usage struct {
-	hollow, real float64 // processor time
+	hollow, real float64 // CPU time
 	elapsed      float64
 }
 
-// during measures both processes while something is done.
+// usageDuring measures both processes during a call of do.
 func (h *hollowMeasurement) usageDuring(do func() error) (usage, error) {
 	u := usage{hollow: -h.hollow.processorSeconds(), real: -h.real.processorSeconds()}
 	began := time.Now()
@@ -183,7 +183,7 @@
 	return u, err
 }
 
-// sentBytes are those that a hollow node and the real one have sent in datagrams so far.
+// sentBytes holds the bytes that a hollow node and the real node have sent in datagrams so far.
 type sentBytes struct {
 	hollow, real float64
 }
@@ -204,7 +204,7 @@
 	return view.Counts.Sent, err
 }
 
-// measureIdle watches the nodes while nothing happens.
+// measureIdle measures the nodes while nothing changes.
 func (h *hollowMeasurement) measureIdle() error {
 	before, err := h.sent()
 	if err != nil {
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -18,23 +18,23 @@
 	"go.uber.org/zap"
 )
 
-// Hollow nodes are many nodes in one process. Each is the node's own code with its endpoint list, membership and state,
-// but without requests. One real process beside them shows how far the two differ.
+// Hollow nodes are many nodes in one process. Each runs the node's own code for the endpoint list, membership and
+// state, but serves no requests. A real node process in the same fleet shows how much the two differ.
 
-// readyLine is what the process of hollow nodes prints once all are ready.
+// readyLine is the line that the process of hollow nodes prints when all nodes are ready.
 const readyLine = "ready\n"
 
-// hollowFleet is the file that the process of hollow nodes reads.
+// hollowFleet is the content of the file that the process of hollow nodes reads.
 type hollowFleet struct {
 	Discovery string          `json:"Discovery"` // address
-	Nodes     []nodeAddresses `json:"Nodes"`     // the last is the real one
+	Nodes     []nodeAddresses `json:"Nodes"`     // the last one is the real node
 	Dir       string          `json:"Dir"`
 }
 
-// hollow are the places of the hollow nodes.
+// hollow returns the addresses of the hollow nodes.
 func (f *hollowFleet) hollow() []nodeAddresses { return f.Nodes[:len(f.Nodes)-1] }
 
-// writeFeatures writes the features file of one node, and returns its path.
+// writeFeatures writes the features file of a node, and returns its path.
 func (f *hollowFleet) writeFeatures(index int) (string, error) {
 	var text strings.Builder
 	self := f.Nodes[index]
@@ -50,8 +50,8 @@
 	return filepath.Join(f.Dir, f.Nodes[index].Name+".state")
 }
 
-// RunHollow runs the hollow nodes of a file in this process, and prints a line once all are ready. It returns if one of
-// them ends; otherwise the process is killed, which the system does too if its parent ends.
+// RunHollow runs the hollow nodes of a file in this process, and prints readyLine when all are ready. It returns when
+// one of them ends. Normally the process is killed instead; the kernel also kills it when its parent ends.
 func RunHollow(path string, out io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +72,7 @@
 	for _, addresses := range f.hollow() {
 		for began := time.Now(); !isReady(addresses.Admin); time.Sleep(readyPoll) {
 			if time.Since(began) > readyTimeout {
-				return fmt.Errorf("%s not ready within %v", addresses.Name, readyTimeout)
+				return fmt.Errorf("hollow node %s: not ready within %v", addresses.Name, readyTimeout)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 	return node.New(config, zap.NewNop())
 }
 
-// startHollow starts the process of hollow nodes, and waits until all are ready.
+// startHollow starts the process of hollow nodes, and waits until all nodes are ready.
 func startHollow(e *Env, f *hollowFleet) (*nodeProcess, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
@@ -126,14 +126,14 @@
 			return p, nil
 		}
 		p.kill()
-		return nil, fmt.Errorf("hollow nodes: %s", strings.TrimSpace(line))
+		return nil, fmt.Errorf("process of hollow nodes: expected the line that all are ready, got: %s", strings.TrimSpace(line))
 	case <-time.After(2 * readyTimeout):
 		p.kill()
-		return nil, fmt.Errorf("hollow nodes: not ready within %v", 2*readyTimeout)
+		return nil, fmt.Errorf("process of hollow nodes: not ready within %v", 2*readyTimeout)
 	}
 }
 
-// readOutput passes the first line on, and discards the rest, so that the process never waits for a reader.
+// readOutput sends the first line to the channel and discards the rest, so that the process never blocks on writes.
 func readOutput(output io.Reader, first chan<- string) {
 	line, err := bufio.NewReader(output).ReadString('\n')
 	if err != nil && line == "" {
--- a/internal/lab/scale/instances.go
+++ b/internal/lab/scale/instances.go
@@ -7,11 +7,11 @@
 	"fawnglade/policy"
 )
 
-// Probes of the decisions over tenants, classes and services.
+// Probes of the decisions by number of tenants, classes and services.
 
 const (
-	fixedEndpoints   = 1200 // where another size grows
-	serviceEndpoints = 24   // of a service
+	fixedEndpoints   = 1200 // in probes that vary another size
+	serviceEndpoints = 24   // endpoints of each service
 )
 
 func tenantsProbe() Probe {
@@ -68,7 +68,7 @@
 	}
 }
 
-// measureInstance measures one instance with so many classes and tenants.
+// measureInstance measures one instance with the given numbers of classes and tenants.
 func measureInstance(e *Env, classes, tenants int) Measurement {
 	v := Values{}
 	before := heapInUse()
--- a/internal/lab/scale/machine.go
+++ b/internal/lab/scale/machine.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Machine is what figures were measured on.
+// Machine describes the machine on which figures were measured.
 type Machine struct {
 	Cores       int     `json:"cores"`
 	MemoryBytes float64 `json:"memory_bytes"`
 	Go          string  `json:"go"` // version
 }
 
-// ThisMachine reads what this machine has.
+// ThisMachine returns the description of this machine.
 func ThisMachine() (Machine, error) {
 	m := Machine{Cores: runtime.NumCPU(), Go: runtime.Version()}
 	text, err := os.ReadFile("/proc/meminfo")
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -10,20 +10,20 @@
 	"fawnglade/internal/members"
 )
 
-// Probe of membership: the members' own code for all nodes in virtual time, on a network that loses some datagrams.
+// Probe of membership: package members runs for all nodes in virtual time, on a network that loses some datagrams.
 
 const (
 	datagramLoss  = 0.05
-	maxMembers    = 4096 // that internal/members takes
+	maxMembers    = 4096 // limit of package members
 	maxUpTime     = 300 * second
 	maxDeathTime  = 200 * second
 	maxSettleTime = 600 * second
-	// maxIdleDatagramBytes is longer, in bytes, than the mean datagram of a fleet at rest.
+	// maxIdleDatagramBytes is a bound on the mean size of the datagrams of a fleet without membership updates.
 	maxIdleDatagramBytes = 100
 	membersWatch         = 20 * second
 	deathPoll            = 100 * millisecond
 	methodMembers        = "virtual time, 5% of datagrams lost"
-	membersSeed          = 1 // seed of the fleet
+	membersSeed          = 1 // random seed of the fleet
 )
 
 func membersProbe() Probe {
@@ -89,17 +89,17 @@
 	}
 }
 
-// membersMeasurement is a fleet in virtual time.
+// membersMeasurement measures a fleet in virtual time.
 type membersMeasurement struct {
 	ctx       context.Context
 	env       *Env
 	size      float64
 	values    Values
 	fleet     *fleet.Virtual
-	startedAt int64 // when all nodes had been started, nanoseconds
+	startedAt int64 // virtual time when all nodes had been started, nanoseconds
 }
 
-// measure returns a note where something did not happen in time; what was measured before stays.
+// measure runs all measurements. If one does not finish in time, it returns a note; earlier values are kept.
 func (m *membersMeasurement) measure() (note string, err error) {
 	before := heapInUse()
 	if err := m.start(); err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// sinceStart returns seconds.
+// sinceStart returns the seconds of virtual time since the start of the nodes.
 func (m *membersMeasurement) sinceStart() float64 { return float64(m.fleet.Now()-m.startedAt) / 1e9 }
 
 func (m *membersMeasurement) waitUntilUp() (note string, err error) {
@@ -149,11 +149,11 @@
 		m.fleet.Run(second / 2)
 	}
 	m.values["up"] = m.sinceStart()
-	m.env.logf("  all up after %.1f s", m.values["up"])
+	m.env.logf("  all nodes see all nodes as alive after %.1f s", m.values["up"])
 	return "", nil
 }
 
-// waitUntilIdle waits until datagrams carry next to no updates.
+// waitUntilIdle waits until datagrams carry almost no membership updates.
 func (m *membersMeasurement) waitUntilIdle() (note string, err error) {
 	for atRest := false; !atRest; {
 		if m.fleet.Now()-m.startedAt > maxSettleTime {
@@ -166,11 +166,11 @@
 		atRest = sent.bytes <= maxIdleDatagramBytes*sent.datagrams
 	}
 	m.values["told"] = m.sinceStart()
-	m.env.logf("  told after %.1f s", m.values["told"])
+	m.env.logf("  updates about the start have ended after %.1f s", m.values["told"])
 	return "", nil
 }
 
-// measureIdle measures the fleet while nothing happens.
+// measureIdle measures the fleet while nothing changes.
 func (m *membersMeasurement) measureIdle() {
 	watch := pick(m.env, membersWatch, membersWatch/4)
 	seconds := float64(watch) / 1e9
@@ -180,7 +180,7 @@
 	m.values["bytes"] = sent.bytes / m.size / seconds
 }
 
-// measureDeath kills a node, and enters after how long 50, 90, 99 and 100 in 100 of the others hold it dead.
+// measureDeath kills a node, and measures the time until 50%, 90%, 99% and 100% of the others consider it dead.
 func (m *membersMeasurement) measureDeath(victim int, name string) (note string, err error) {
 	m.fleet.Kill(victim)
 	killed := m.fleet.Now()
@@ -198,12 +198,12 @@
 			m.fleet.Run(deathPoll)
 		}
 		m.values[figure] = float64(m.fleet.Now()-killed) / 1e9
-		m.env.logf("  %s: %d in 100 know after %.1f s", name, percent, m.values[figure])
+		m.env.logf("  %s: %d%% of nodes detected the death after %.1f s", name, percent, m.values[figure])
 	}
 	return "", nil
 }
 
-// traffic is what all nodes sent over a time.
+// traffic is the traffic sent by all nodes over some time.
 type traffic struct {
 	datagrams, bytes float64
 }
@@ -218,7 +218,7 @@
 	}
 }
 
-// watchTraffic lets time pass, and returns what was sent meanwhile.
+// watchTraffic advances time by duration, and returns the traffic sent in it.
 func (m *membersMeasurement) watchTraffic(duration int64) traffic {
 	var sent traffic
 	sent.add(m.fleet, -1)
@@ -227,7 +227,7 @@
 	return sent
 }
 
-// running counts the nodes that run.
+// countRunning returns the number of running nodes.
 func countRunning(v *fleet.Virtual) int {
 	n := 0
 	for i := range v.Len() {
@@ -238,7 +238,7 @@
 	return n
 }
 
-// countNodesSeeing counts the nodes that hold another one in a state.
+// countNodesSeeing returns the number of nodes that see the target in the given state.
 func countNodesSeeing(v *fleet.Virtual, target int, state members.State) int {
 	n := 0
 	for i := range v.Len() {
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -23,7 +23,7 @@
 	readyPoll         = 5 * time.Millisecond
 )
 
-// nodeSettings are those of one node of a large fleet, with its zones.
+// nodeSettings returns the settings of a node of a large fleet as JSON.
 func nodeSettings(nodes, index int, gossip bool) string {
 	var names []string
 	for i := range zones {
@@ -37,7 +37,7 @@
 "weights":"off","zone":0,"zones":[%s]}`, nodes, index, gossip, strings.Join(names, ","))
 }
 
-// nodeAddresses is where one node runs. Its tags are of the file that the process of hollow nodes reads.
+// nodeAddresses holds the name and addresses of a node, as in the file that the process of hollow nodes reads.
 type nodeAddresses struct {
 	Name    string `json:"Name"`
 	Listen  string `json:"Listen"`
@@ -45,7 +45,7 @@
 	Members string `json:"Members"`
 }
 
-// nodeConfig is a node's configuration; with gossip it may send to other nodes.
+// nodeConfig returns the configuration of a node. With gossip, the node may send messages to other nodes.
 func nodeConfig(index int, addresses nodeAddresses, discovery string, gossip bool) string {
 	gossipConfig := "{}"
 	if gossip {
@@ -55,8 +55,8 @@
 		index, addresses.Listen, discovery, addresses.Admin, index+1, gossipConfig, nodeSettings(int(DefaultDesign.Nodes), index, gossip))
 }
 
-// freeAddresses returns addresses that nothing listens at, for connections or datagrams. All are held until the last is
-// found, so that none comes twice.
+// freeAddresses returns n addresses on which nothing listens, neither for TCP nor for UDP. All listeners stay open
+// until the last address is found, so that no address repeats.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for len(addresses) < n {
@@ -67,24 +67,24 @@
 		defer listener.Close()
 		address := listener.Addr().String()
 		if packets, err := net.ListenPacket("udp", address); err == nil {
-			defer func() { _ = packets.Close() }() // nothing was sent or received
+			defer func() { _ = packets.Close() }() // no data to lose
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses, nil
 }
 
-// nodeProcess is one real node.
+// nodeProcess is a real node process.
 type nodeProcess struct {
 	emulator.Process
-	admin     string // address
+	admin     string // address of the admin API
 	startedAt time.Time
 }
 
-// nodeOptions are those of a node's start.
+// nodeOptions are the options of startNode.
 type nodeOptions struct {
-	dir       string // for configuration and log
-	discovery string // address
+	dir       string // directory for configuration and log
+	discovery string // address of discovery
 	index     int
 	addresses nodeAddresses
 	stateDir  string // empty: none
@@ -122,19 +122,20 @@
 	return p, err
 }
 
-// kill ends the process, and waits for its end.
+// kill kills the process and waits until it has ended.
 func (p *nodeProcess) kill() {
-	_ = p.Signal(syscall.SIGKILL) // fails only if it has ended
+	_ = p.Signal(syscall.SIGKILL) // fails only if the process has ended
 	<-p.Done()
 }
 
-// isReady tells whether a node takes requests.
+// isReady reports whether a node is ready for requests.
 func isReady(admin string) bool {
 	status, _, err := fleet.Call(admin, http.MethodGet, "/ready")
 	return err == nil && status == http.StatusOK
 }
 
-// waitUntilReady returns the seconds from the start until the node takes requests; an error if it does not in time.
+// waitUntilReady waits until the node is ready, and returns the seconds since its start. It returns an error if the
+// node ends or is not ready within the timeout.
 func (p *nodeProcess) waitUntilReady(ctx context.Context, timeout time.Duration) (float64, error) {
 	for time.Since(p.startedAt) < timeout {
 		if isReady(p.admin) {
@@ -151,19 +152,19 @@
 	return 0, fmt.Errorf("not ready within %v", timeout)
 }
 
-// adminGet reads a JSON answer of a node's admin API.
+// adminGet reads a JSON response of a node's admin API.
 func adminGet(admin, path string, into any) error {
 	status, text, err := fleet.Call(admin, http.MethodGet, path)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return fmt.Errorf("%s: answered %d", strings.TrimPrefix(path, "/"), status)
+		return fmt.Errorf("admin API, %s: expected status 200, got %d", strings.TrimPrefix(path, "/"), status)
 	}
 	return json.Unmarshal(text, into)
 }
 
-// processorSeconds returns what the process has used so far; 0 if it cannot be read.
+// processorSeconds returns the CPU time that the process has used so far; 0 if it cannot be read.
 func (p *nodeProcess) processorSeconds() float64 {
 	seconds, err := processorTime(p.PID())
 	if err != nil {
@@ -172,31 +173,31 @@
 	return seconds
 }
 
-// idleShare watches a process to which nothing happens, and returns its processor time, seconds a second.
+// idleShare measures an idle process for the given duration, and returns its CPU time as a fraction of a core.
 func (p *nodeProcess) idleShare(watch time.Duration) float64 {
 	before, began := p.processorSeconds(), time.Now()
 	time.Sleep(watch)
 	return (p.processorSeconds() - before) / time.Since(began).Seconds()
 }
 
-// work is what a process did with what it was given.
+// work is the cost of the work that a process did.
 type work struct {
-	processor float64 // seconds, beyond what it takes idle
+	processor float64 // CPU seconds in excess of the idle process
 	elapsed   float64 // seconds until it was idle again
 }
 
 const (
 	quietStep       = 20 * time.Millisecond
-	quietSteps      = 50    // without work: on a busy machine a process may be kept from the processor for a while
+	quietSteps      = 50    // steps without work: on a busy machine a process with work may not be scheduled for a while
 	quickQuietSteps = 5     // in a quick run
-	quietProcessor  = 0.003 // seconds over those steps that count as no work
+	quietProcessor  = 0.003 // CPU seconds over those steps that still count as no work
 )
 
-// workMeter begins before a process is given something to do.
+// workMeter measures the work of a process. It is created before the process is given the work.
 type workMeter struct {
 	process   *nodeProcess
-	idle      float64 // its share while nothing happens
-	before    float64 // processor time
+	idle      float64 // fraction of a core that the process uses when idle
+	before    float64 // CPU time at the start, seconds
 	startedAt time.Time
 }
 
@@ -204,7 +205,7 @@
 	return workMeter{p, idle, p.processorSeconds(), time.Now()}
 }
 
-// waitUntilIdle waits until the process has done what it was given.
+// waitUntilIdle waits until the process has finished its work or the timeout has passed.
 func (m *workMeter) waitUntilIdle(timeout time.Duration) work {
 	steps := quietSteps
 	if timeout <= quickReadyTimeout {
--- a/internal/lab/scale/plot.go
+++ b/internal/lab/scale/plot.go
@@ -19,13 +19,13 @@
 	plotColumns   = 5
 	panelWidth    = 9 * vg.Centimeter
 	panelHeight   = 7 * vg.Centimeter
-	dotsPerInch   = 60   // keeps a picture of fifty panels under a megabyte
-	minLogValue   = 1e-9 // that is drawn on a logarithmic axis
-	fitPlotPoints = 40   // of a line from the first to the last size
+	dotsPerInch   = 60   // keeps a plot of fifty panels under a megabyte
+	minLogValue   = 1e-9 // smallest value on a logarithmic axis
+	fitPlotPoints = 40   // points of a fitted line over the whole axis
 )
 
-// Plot writes a PNG with a panel for each slope that has points and a limit, or, where none has a limit, for each with
-// points. Both axes are logarithmic; the value at the design size is a ring, the limit a red line.
+// Plot writes a PNG with a panel for each slope that has points and a limit or, if no slope has a limit, for each slope
+// that has points. Both axes are logarithmic; the value at the design size is a ring, the limit a red line.
 func Plot(path string, r *Result) (err error) {
 	panels, err := r.panels()
 	if err != nil {
@@ -71,7 +71,7 @@
 	return panels, nil
 }
 
-// panel draws one slope, which has points.
+// panel returns the plot of one slope, which must have points.
 func (s *Slope) panel() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name + ": " + formatShort(s.DesignValue) + " at " + formatShort(s.DesignSize)
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 	}
-	// Nothing lies on the edge, and an axis of one value gets a length.
+	// Keep points off the edges, and give an axis with a single value a nonzero length.
 	p.Y.Min /= 2
 	p.Y.Max *= 2
 	if p.X.Min >= p.X.Max {
@@ -92,7 +92,7 @@
 	return p, nil
 }
 
-// minSize and maxSize are the ends of the axis of sizes.
+// minSize and maxSize return the ends of the axis of sizes.
 func (s *Slope) minSize() float64 { return s.Points[0].Size }
 func (s *Slope) maxSize() float64 { return max(s.DesignSize, s.Points[len(s.Points)-1].Size) }
 
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// addFit draws the line; one that breaks is not extrapolated.
+// addFit draws the fitted line. A line that breaks is not extrapolated.
 func (s *Slope) addFit(p *plot.Plot) error {
 	if len(s.Points) < 2 || s.maxSize() <= s.minSize() {
 		return nil
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Probe of one real node process that gets its endpoint list from a stand-in for discovery. Processor time and memory
-// are the system's figures, not the node's own.
+// Probe of a real node process that gets its endpoint list from the emulated discovery. CPU time and memory are read
+// from the kernel, not from the node.
 
 const (
 	methodResident  = "VmRSS of the process"
@@ -20,10 +20,10 @@
 )
 
 const (
-	changePause = 20 * time.Millisecond // between changes that are sent singly
-	// heartbeatBytes are those of discovery's empty lines, a second.
+	changePause = 20 * time.Millisecond // between changes that are sent one by one
+	// heartbeatBytes is the rate of discovery's empty lines, bytes per second.
 	heartbeatBytes = 0.5
-	// diskPoll is how often the state on disk is looked at until it no longer grows.
+	// diskPoll is the interval at which the size of the state on disk is checked until it no longer grows.
 	diskPoll = 500 * time.Millisecond
 )
 
@@ -134,18 +134,18 @@
 	return m, nil
 }
 
-// processMeasurement is one node process at a time, and the stand-in for discovery.
+// processMeasurement measures one node process at a time, with the emulated discovery.
 type processMeasurement struct {
 	ctx       context.Context
 	env       *Env
 	endpoints int
 	dir       string
-	timeout   time.Duration // until ready
-	watch     time.Duration // of a node to which nothing happens
+	timeout   time.Duration // for the node to become ready
+	watch     time.Duration // duration of the measurement of an idle node
 	discovery *discovery
-	version   int64 // of the endpoint list
+	version   int64 // current version of the endpoint list
 	node      *nodeProcess
-	idle      float64 // share of a core while nothing happens
+	idle      float64 // fraction of a core that the idle node uses
 	values    Values
 }
 
@@ -175,13 +175,13 @@
 	return "", nil
 }
 
-// notReadyNote says what a node did that was not ready in time.
+// notReadyNote describes the activity of a node that did not become ready in time.
 func (p *processMeasurement) notReadyNote(reason error) string {
 	elapsed := time.Since(p.node.startedAt).Seconds()
 	stats := p.discovery.readStats()
 	memory, err := readResident(p.node.PID())
 	if err != nil {
-		memory = residentMemory{} // it has ended
+		memory = residentMemory{} // the process has ended
 	}
 	return fmt.Sprintf("%v: %d calls of discovery, %s bytes told, %.0f%% of a core, %.0f MB",
 		reason, stats.calls, formatShort(stats.bytes), 100*p.node.processorSeconds()/elapsed, memory.now/1e6)
@@ -196,7 +196,7 @@
 	return err
 }
 
-// nextChange is an update with one change: an endpoint drains at an even index, and starts anew at the next.
+// nextChange returns an update with one change: it drains an endpoint if i is even, and restarts it if i is odd.
 func (p *processMeasurement) nextChange(i int) []byte {
 	p.version++
 	endpoint := i / 2 * scatter % p.endpoints
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// measureSingly sends the changes of a zone in an update each, without a pause.
+// measureSingly sends the changes of a zone as one update each, without pauses.
 func (p *processMeasurement) measureSingly() error {
 	changes := pick(p.env, int(p.env.Design.ZoneEndpoints), 100)
 	meter := p.node.newWorkMeter(p.idle)
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// measureFromDisk has a node store its state, and measures a start from that without discovery.
+// measureFromDisk lets a node store its state, and measures a start from that state without discovery.
 func (p *processMeasurement) measureFromDisk() (note string, err error) {
 	stateDir := filepath.Join(p.dir, "state")
 	note, err = p.storeState(stateDir)
@@ -291,7 +291,7 @@
 	return note, nil
 }
 
-// storeState runs a node until its state on disk no longer grows, and kills it.
+// storeState runs a node until its state on disk no longer grows, and then kills it.
 func (p *processMeasurement) storeState(dir string) (note string, err error) {
 	p.node, err = startAnywhere(p.env, p.dir, p.discovery.address(), dir)
 	if err != nil {
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -8,7 +8,7 @@
 
 const methodTree = "virtual time: an origin, 3 and 15 relays, ways of 40 ms between them; processors take none"
 
-// settleTime lies between two measurements.
+// settleTime is the pause between two measurements.
 const settleTime = 2 * second
 
 func propagationProbe() Probe {
@@ -75,7 +75,7 @@
 	return m, nil
 }
 
-// measureUntil enters after how long 99 and 100 in 100 nodes fulfil a condition.
+// measureUntil measures the time until 99% and 100% of the nodes meet a condition.
 func (t *tree) measureUntil(v Values, name string, holds func(node int, s *treeSubscriber) bool) error {
 	began := t.now
 	wait := t.newWait(holds)
@@ -83,19 +83,19 @@
 		figure := fmt.Sprint(name, percent)
 		fulfilled, inTime := t.waitFor(wait, float64(percent)/100)
 		if !inTime {
-			return errors.Join(t.err, fmt.Errorf("%s: %d of %d nodes after %d s", figure, fulfilled, len(t.subscribers), maxWait/second))
+			return errors.Join(t.err, fmt.Errorf("%s: only %d of %d nodes met the condition within %d s", figure, fulfilled, len(t.subscribers), maxWait/second))
 		}
 		v[figure] = float64(t.now-began) / 1e9
 	}
 	return t.err
 }
 
-// measureStart measures until the nodes hold all of their scopes.
+// measureStart measures the time until the nodes have all their scopes.
 func (t *tree) measureStart(v Values) error {
 	return t.measureUntil(v, "start", func(_ int, s *treeSubscriber) bool { return s.subscriber.Complete() })
 }
 
-// measureChange changes the record that all nodes follow.
+// measureChange measures a change of the record that all nodes follow.
 func (t *tree) measureChange(v Values) error {
 	t.resetChanges()
 	if err := t.putSettings("1"); err != nil {
@@ -105,7 +105,7 @@
 	return t.measureUntil(v, "change", func(_ int, s *treeSubscriber) bool { return s.changes > 0 })
 }
 
-// measureBurst drains so many endpoints at once.
+// measureBurst measures the drain of the given number of endpoints at once.
 func (t *tree) measureBurst(v Values, endpoints int) error {
 	t.resetChanges()
 	changed := map[string]int{} // by scope
--- a/internal/lab/scale/records.go
+++ b/internal/lab/scale/records.go
@@ -9,30 +9,31 @@
 	"fawnglade/internal/distribution"
 )
 
-// Probes of distribution over the number of records: an origin, a relay and a subscriber in this process and in virtual
-// time, one after the other, so that each part's cost is its own.
+// Probes of distribution by number of records: an origin, a relay and a subscriber in this process and in virtual time.
+// They run one after another, so that their costs are measured separately.
 
 const (
 	regions       = 10
-	scopesPerNode = 20      // that a node follows
-	maxFrames     = 1 << 20 // that a relay may have for one subscriber at once
-	frameOverhead = 4       // bytes on the wire
+	scopesPerNode = 20      // scopes that a node follows
+	maxFrames     = 1 << 20 // limit of the frames that a relay sends to one subscriber at once
+	frameOverhead = 4       // bytes on the wire for each frame
 	methodFrames  = "bytes of frames"
 	probeStart    = int64(startTime)
 	millisecond   = int64(changeInterval) // nanoseconds
 )
 
-var errEndlessFrames = fmt.Errorf("a relay that goes on for over %d frames", maxFrames)
+var errEndlessFrames = fmt.Errorf("relay: expected at most %d frames for one subscriber at once, got more", maxFrames)
 
 // scopeOf returns the scope of a record: a service in a region.
 func scopeOf(i int) string {
 	return fmt.Sprintf("r%d/s%04d", i/serviceEndpoints%regions, i/serviceEndpoints/regions)
 }
 
-// makeRecord makes the record of a number in one of its revisions, which all differ.
+// makeRecord returns a revision of the record with number i. All revisions of a record differ.
 type makeRecord func(i, revision int) distribution.Record
 
-// endpointRecord is active in even revisions and draining in odd ones; its body has the form of discovery's entries.
+// endpointRecord returns an endpoint, active in even revisions and draining in odd ones. Its body has the format of
+// discovery's entries.
 func endpointRecord(i, revision int) distribution.Record {
 	r := distribution.Record{Scope: scopeOf(i), Key: fmt.Sprintf("endpoint/srv-%06d.eu1", i)}
 	if revision%2 == 1 {
@@ -43,7 +44,7 @@
 	return r
 }
 
-// routeRecord is configuration of the length that a route's has.
+// routeRecord returns configuration with the typical length of a route.
 func routeRecord(i, revision int) distribution.Record {
 	return distribution.Record{
 		Scope: scopeOf(i), Key: fmt.Sprintf("route/%06d", i), Class: distribution.ClassConfiguration,
@@ -53,7 +54,7 @@
 	}
 }
 
-// tenantRecord is configuration of the length that a tenant's has.
+// tenantRecord returns configuration with the typical length of a tenant.
 func tenantRecord(i, revision int) distribution.Record {
 	return distribution.Record{
 		Scope: fmt.Sprintf("r%d/tenants", i%regions), Key: fmt.Sprintf("tenant/%06d", i), Class: distribution.ClassConfiguration,
@@ -61,7 +62,7 @@
 	}
 }
 
-// makeRecords returns the first revisions of so many records.
+// makeRecords returns the first revisions of n records.
 func makeRecords(n int, record makeRecord) []distribution.Record {
 	records := make([]distribution.Record, n)
 	for i := range records {
@@ -70,12 +71,12 @@
 	return records
 }
 
-// everything selects all scopes.
+// allScopes returns a selector of all scopes.
 func allScopes() []distribution.Selector {
 	return []distribution.Selector{{Scope: "", Prefix: true}}
 }
 
-// forwardFrames passes all frames that a relay has for one subscriber on to it, and returns their bytes on the wire.
+// forwardFrames passes all frames that a relay has for one subscriber to receive, and returns their bytes on the wire.
 func forwardFrames(
 	now int64, r *distribution.Relay, id int, receive func(now int64, frame []byte) error,
 ) (bytes float64, err error) {
@@ -116,13 +117,13 @@
 	})
 }
 
-// recordKind is a kind of record to measure distribution with.
+// recordKind is a kind of record for which distribution is measured.
 type recordKind struct {
 	probe            string
-	name             string // of the kind in distribution
+	name             string // name of the source at the origin
 	sizes            []float64
 	designSize       func(*Design) float64
-	changesPerSecond func(*Design) float64 // as if all configuration were of this kind
+	changesPerSecond func(*Design) float64 // as if all configuration changes were of this kind
 	record           makeRecord
 }
 
@@ -188,7 +189,7 @@
 	}
 }
 
-// recordChain is an origin, a relay that follows it, and a subscriber that follows the relay.
+// recordChain is an origin, a relay that follows it and a subscriber that follows the relay.
 type recordChain struct {
 	kind   recordKind
 	env    *Env
@@ -198,9 +199,9 @@
 
 	origin       *distribution.Origin
 	relay        *distribution.Relay
-	relayID      int // at the origin
+	relayID      int // ID of the relay at the origin
 	subscriber   *distribution.Subscriber
-	subscriberID int // at the relay
+	subscriberID int // ID of the subscriber at the relay
 }
 
 func (c *recordChain) measure() error {
@@ -270,7 +271,7 @@
 	}
 	c.values["subscriber"] = heapInUse() - before
 	if held := c.subscriber.Stats().Records; held != c.size || !c.subscriber.Complete() {
-		return fmt.Errorf("a subscriber holds %d of %d records", held, c.size)
+		return fmt.Errorf("subscriber: got %d of %d records, or is not complete", held, c.size)
 	}
 	return nil
 }
@@ -286,14 +287,15 @@
 	})
 }
 
-// put has the origin take one revision of a record.
+// put puts one revision of a record to the origin.
 func (c *recordChain) put(i, revision int) error {
 	r := c.kind.record(i*scatter%c.size, revision)
 	_, err := c.origin.Put(c.now, r.Scope, r.Key, r.Class, r.Body)
 	return err
 }
 
-// change passes revisions of some records through all parts, and returns the bytes to the subscriber.
+// change puts a revision of count records to the origin, forwards it to the relay and the subscriber, and returns the
+// bytes sent to the subscriber.
 func (c *recordChain) change(first, count, revision int) (bytes float64, err error) {
 	for i := range count {
 		if err := c.put(first+i, revision); err != nil {
@@ -306,7 +308,7 @@
 	return c.forwardToSubscriber()
 }
 
-// Revisions from which those of each measurement begin, so that none is put twice.
+// First revisions of the measurements, so that no revision is put twice.
 const (
 	burstRevision = 1e6
 	putRevision   = 2e6
--- a/internal/lab/scale/resources.go
+++ b/internal/lab/scale/resources.go
@@ -12,13 +12,13 @@
 	"unsafe"
 )
 
-// Clocks of the system, for clock_gettime.
+// Clock IDs for clock_gettime.
 const (
 	threadClock  = 3 // CLOCK_THREAD_CPUTIME_ID
-	processClock = 2 // low bits of a process's clock; its ID is in the others
+	processClock = 2 // low bits of the ID of a process's CPU clock; the other bits hold the process ID
 )
 
-// readClock returns seconds.
+// readClock returns the time of a clock in seconds.
 func readClock(id int) (float64, error) {
 	var t syscall.Timespec
 	_, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, uintptr(id), uintptr(unsafe.Pointer(&t)), 0)
@@ -28,34 +28,34 @@
 	return float64(t.Sec) + float64(t.Nsec)/1e9, nil
 }
 
-// processorTime returns what a process has used so far, seconds of one core; 0 stands for this process.
+// processorTime returns the CPU time that a process has used so far, in seconds. The process ID 0 is this process.
 func processorTime(pid int) (float64, error) { return readClock(^pid<<3 | processClock) }
 
-// threadTime is that of the calling thread, to which the goroutine has to be locked.
+// threadTime returns the CPU time of the calling thread in seconds. The goroutine must be locked to the thread.
 func threadTime() float64 {
 	t, err := readClock(threadClock)
 	if err != nil {
-		panic(err) // a thread always has one
+		panic(err) // a thread always has a CPU clock
 	}
 	return t
 }
 
-// spent returns the processor time that a call takes this process, with its garbage collection, seconds.
+// cpuTimeOf returns the CPU time that this process uses during a call, including garbage collection, in seconds.
 func cpuTimeOf(do func()) float64 {
 	before, errBefore := processorTime(0)
 	do()
 	after, errAfter := processorTime(0)
 	if err := errors.Join(errBefore, errAfter); err != nil {
-		panic(fmt.Sprint("processor time of this process: ", err)) // a process always has one
+		panic(fmt.Sprint("read CPU time of this process: ", err)) // a process always has a CPU clock
 	}
 	return after - before
 }
 
-// maxRepetitions of one call by meanCPUTime.
+// maxRepetitions bounds the repetitions of one call by meanCPUTime.
 const maxRepetitions = 1 << 20
 
-// meanCPUTime repeats a call at least so often, and until it has taken so many seconds, and returns the mean processor
-// time of one, seconds.
+// meanCPUTime repeats a call at least atLeast times, and until the calls have used the given seconds of CPU time, and
+// returns the mean CPU time of one call in seconds.
 func meanCPUTime(atLeast int, seconds float64, do func(i int)) float64 {
 	done, sum := 0, 0.0
 	for done < atLeast || sum < seconds && done < maxRepetitions {
@@ -70,8 +70,8 @@
 	return sum / float64(done)
 }
 
-// heapInUse returns the bytes of heap and stacks in use after a collection. The second collection frees what finalizers
-// held.
+// heapInUse returns the bytes of heap and stacks in use after a garbage collection. The second collection frees objects
+// that finalizers held.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -80,12 +80,12 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// residentMemory is a process's memory in use, bytes.
+// residentMemory is the resident memory of a process, in bytes.
 type residentMemory struct {
 	now, peak float64
 }
 
-// readResident reads that of a process; 0 stands for this one.
+// readResident reads the resident memory of a process. The process ID 0 is this process.
 func readResident(pid int) (residentMemory, error) {
 	process := "self"
 	if pid > 0 {
@@ -108,7 +108,7 @@
 			memory.peak, err = parseKiB(fields[1])
 		}
 		if err != nil {
-			return residentMemory{}, fmt.Errorf("memory of process %s: %w", process, err)
+			return residentMemory{}, fmt.Errorf("read memory of process %s: %w", process, err)
 		}
 	}
 	return memory, nil
@@ -119,7 +119,7 @@
 	return kib * 1024, err
 }
 
-// sizeOfFiles sums the lengths of all files below a directory, bytes. Files that vanish meanwhile count nothing.
+// sizeOfFiles returns the total size of all files below a directory, in bytes. Files that vanish meanwhile count as 0.
 func sizeOfFiles(dir string) float64 {
 	sum := 0.0
 	count := func(_ string, entry os.DirEntry, err error) error {
@@ -132,7 +132,7 @@
 		return nil
 	}
 	if err := filepath.WalkDir(dir, count); err != nil {
-		return 0 // count returns none, so there is none
+		return 0 // cannot happen: count never returns an error
 	}
 	return sum
 }
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -12,7 +12,7 @@
 	Value float64 `json:"value"`
 }
 
-// Slope is one figure over all sizes.
+// Slope holds one figure for all sizes, with its fit and its value at the design size.
 type Slope struct {
 	Name        string   `json:"name"` // probe.figure
 	Description string   `json:"what"`
@@ -22,19 +22,19 @@
 	Method      string   `json:"method"`
 	Substitute  string   `json:"missing,omitempty"`
 	Points      []Point  `json:"points"`
-	Notes       []string `json:"notes,omitempty"` // sizes that could not be measured, and why
+	Notes       []string `json:"notes,omitempty"` // reasons for sizes that could not be measured
 	Fit         Fit      `json:"fit"`
-	NodeMax     float64  `json:"cap,omitempty"` // largest size that the node's own code takes; 0: any
+	NodeMax     float64  `json:"cap,omitempty"` // largest size that the node's code supports; 0: no limit
 	DesignSize  float64  `json:"design_size"`
 	DesignValue float64  `json:"at_design"`
-	Source      string   `json:"how"` // of DesignValue, as Fit.at tells it; names NodeMax where the design is beyond it
+	Source      string   `json:"how"` // of DesignValue, as returned by Fit.valueAt; names NodeMax if the design size exceeds it
 	Limit       float64  `json:"limit,omitempty"`
-	LimitFactor float64  `json:"factor,omitempty"` // DesignValue over Limit
+	LimitFactor float64  `json:"factor,omitempty"` // DesignValue / Limit
 	Command     string   `json:"command"`
 	Day         string   `json:"day"` // YYYY-MM-DD
 }
 
-// Result is all that was measured in one run.
+// Result holds all figures of a run.
 type Result struct {
 	Day     string  `json:"day"` // YYYY-MM-DD
 	Command string  `json:"command"`
@@ -45,7 +45,7 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// withFit returns the slope with the line and the value at the design size computed from its points.
+// withFit returns the slope with its fit and its value at the design size computed from the points.
 func (s Slope) withFit() Slope {
 	s.Fit = fitLine(s.Points)
 	s.LimitFactor = 0
@@ -59,8 +59,8 @@
 	return s
 }
 
-// Join adds a later result to an earlier one, which may be nil. Slopes of one name get the points of both, the later's
-// where both have a size. The design and the limits are the later's.
+// Join merges a later result into an earlier one, which may be nil. Slopes with the same name get the points of both;
+// for a size in both, the later point. The design and the limits are those of the later result.
 func Join(earlier, later *Result) *Result {
 	if earlier == nil {
 		return later
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Options of a run.
+// Options are the options of Run.
 type Options struct {
 	Only    []string // names of probes, or of single figures as probe.figure; empty: all
 	Sizes   []float64
 	Env     Env
-	Command string // that repeats the run, for the result
+	Command string // command line that repeats the run, stored in the result
 	Time    time.Time
 	Design  Design
 	Limits  Limits
 	Machine Machine
 }
 
-// probes returns those that were asked for with their figures and sizes, checked before any work begins.
+// probes returns the selected probes with their selected figures and sizes, all checked before any measurement.
 func (o *Options) probes() ([]Probe, error) {
 	if err := o.checkNames(); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	return len(o.Only) == 0 || slices.Contains(o.Only, p.Name) || slices.Contains(o.Only, p.Name+"."+f.Name)
 }
 
-// checkNames refuses names of probes and figures that there are not.
+// checkNames returns an error for unknown names of probes and figures.
 func (o *Options) checkNames() error {
 	var probes, all []string
 	for _, p := range Probes() {
@@ -61,14 +61,14 @@
 	}
 	for _, name := range o.Only {
 		if !slices.Contains(all, name) {
-			return fmt.Errorf("--only: expected some of %s, or one figure as decisions.change, got %q", strings.Join(probes, ", "), name)
+			return fmt.Errorf("--only: expected some of %s, or a figure such as decisions.change, got %q", strings.Join(probes, ", "), name)
 		}
 	}
 	return nil
 }
 
-// Run measures what was asked for. If a probe fails at a size, the others go on, and its slopes have a note. If the
-// context ends first, what was measured until then is returned with its error.
+// Run runs the selected probes. If a probe fails at a size, its slopes get a note, and the other measurements continue.
+// If the context ends, Run returns the partial result together with the context's error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	probes, err := o.probes()
 	if err != nil {
@@ -86,7 +86,7 @@
 	return result, ctx.Err()
 }
 
-// measure measures one probe at all its sizes. The position among the probes is for the log.
+// measure runs one probe at all its sizes. position is its position among the probes, for the log.
 func (o *Options) measure(ctx context.Context, p *Probe, position string) []Slope {
 	points := map[string][]Point{}
 	var notes []string
@@ -115,7 +115,7 @@
 	return slopes
 }
 
-// measureSize measures one probe at one size, and logs how that went; an error becomes a note.
+// measureSize runs one probe at one size, and logs its note and duration. An error becomes a note.
 func (o *Options) measureSize(ctx context.Context, p *Probe, size float64) Measurement {
 	began := time.Now()
 	m, err := p.Measure(ctx, &o.Env, size)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -1,7 +1,7 @@
-// Package scale measures how the costs of a node's control grow with the size of the deployment. Each probe measures
-// its figures at several sizes, a line is fitted to each figure, and its value at the design size is set beside its
-// limit, with how it was come by. Sizes that the machine has no room for are refused before any work; sizes that could
-// not be measured are noted.
+// Package scale measures how the cost of a node's control plane grows with the size of the deployment. Each probe
+// measures its figures at several sizes. A line is fitted to each figure, and its value at the design size is compared
+// with its limit, along with the source of the value: measured or extrapolated. Sizes that do not fit on the machine
+// are rejected before any measurement; sizes that could not be measured get a note.
 package scale
 
 import (
@@ -14,44 +14,44 @@
 	"time"
 )
 
-// Need is what one size takes of the machine.
+// Need holds the resources that a probe needs at one size.
 type Need struct {
-	Bytes     float64 // of memory, all processes together
-	Processes int     // beside this one
+	Bytes     float64 // memory of all processes together
+	Processes int     // in addition to this one
 }
 
 // Figure is one quantity that a probe measures.
 type Figure struct {
 	Name, Description string
-	Unit              string // of the value
-	Role              string // whose cost it is: node, relay, origin, lab
-	Method            string // of measuring
-	// Limit returns what is allowed at the design size, in Unit; nil: there is no limit.
+	Unit              string // unit of the values
+	Role              string // component that has the cost: node, relay, origin, lab
+	Method            string // method of measurement
+	// Limit returns the limit at the design size, in Unit; nil: no limit.
 	Limit func(*Design, *Limits) float64
 }
 
-// Values are measured ones by the names of figures.
+// Values holds measured values by figure name.
 type Values map[string]float64
 
 // Measurement is the result of a probe at one size.
 type Measurement struct {
-	Values Values // without figures that could not be measured at this size
-	Note   string // why some could not, or what stood for what; may be empty
+	Values Values // figures that could not be measured at this size are omitted
+	Note   string // why figures are missing or deviate; may be empty
 }
 
-// Probe measures figures at one size after another.
+// Probe measures a group of figures at several sizes.
 type Probe struct {
 	Name             string
-	SizeUnit         string // what a size counts: servers, tenants, nodes
+	SizeUnit         string // unit of sizes: servers, tenants, nodes
 	Sizes            []float64
-	QuickSizes       []float64 // for a look, and for tests
-	MinSize, MaxSize float64   // that may be asked for; MaxSize 0: bounded by the machine alone
+	QuickSizes       []float64 // for quick runs and tests
+	MinSize, MaxSize float64   // bounds of sizes; MaxSize 0: bounded only by the machine
 	DesignSize       func(*Design) float64
 	Need             func(size float64) Need
 	Figures          []Figure
-	NodeMax          float64 // largest size that the node's own code takes; 0: any
-	Substitute       string  // what the node does not have, and what stands for it
-	// Measure measures at a size. With an error it may return the values that were measured before.
+	NodeMax          float64 // largest size that the node's code supports; 0: no limit
+	Substitute       string  // what the node does not support, and what is measured instead
+	// Measure measures all figures at a size. Together with an error it may return the values measured before.
 	Measure func(ctx context.Context, e *Env, size float64) (Measurement, error)
 }
 
@@ -64,17 +64,17 @@
 	}
 }
 
-// Env is what probes work with.
+// Env is the environment of probes.
 type Env struct {
-	NodeCommand   []string // with serve; empty: figures of a real process are left out
-	HollowCommand []string // of a process of hollow nodes, to which a file's path is added; empty: left out
+	NodeCommand   []string // command line of a node, including serve; empty: figures of node processes are omitted
+	HollowCommand []string // command line of a process of hollow nodes, to which a path is appended; empty: omitted
 	Quick         bool     // shorter measurements
 	Design        Design
-	Log           io.Writer // progress; nil: none
-	Dir           string    // for files; probes remove theirs
+	Log           io.Writer // for progress; nil: no log
+	Dir           string    // directory for files; probes remove their files
 }
 
-// logf writes a line of progress. A log that cannot be written ends no measurement.
+// logf writes a line of progress. Write errors are ignored, so that they do not end a measurement.
 func (e *Env) logf(format string, args ...any) {
 	if e.Log == nil {
 		return
@@ -82,7 +82,7 @@
 	_, _ = fmt.Fprintf(e.Log, "%s  %s\n", time.Now().Format(time.TimeOnly), fmt.Sprintf(format, args...))
 }
 
-// pick returns one of two values: the second in a quick run.
+// pick returns the first value, or the second one in a quick run.
 func pick[T any](e *Env, usual, quick T) T {
 	if e.Quick {
 		return quick
@@ -91,12 +91,12 @@
 }
 
 const (
-	maxProcesses  = 200 // beside this one
+	maxProcesses  = 200 // in addition to this one
 	minSizes      = 4
-	minSizeSpread = 10 // of the last size over the first
+	minSizeSpread = 10 // minimum ratio of the last size to the first
 )
 
-// Check refuses sizes that the machine has no room for or that give no slope, with an error of one line.
+// Check returns an error of one line for sizes that do not fit on the machine or do not suffice for a fit.
 func (p *Probe) Check(sizes []float64, m Machine) error {
 	for _, size := range sizes {
 		if err := p.checkSize(size, m); err != nil {
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// subscribers are many of them at one relay, all with the same scopes.
+// subscribers measures many subscribers of one relay, all with the same scopes.
 type subscribers struct {
 	env    *Env
 	size   float64
@@ -83,8 +83,9 @@
 	origin *distribution.Origin
 	relay  *distribution.Relay
 	all    []*distribution.Subscriber
-	ids    []int // at the relay
-	// frames wait for each subscriber, so that the relay's cost and the subscribers' are measured apart.
+	ids    []int // IDs of the subscribers at the relay
+	// frames buffers the frames for each subscriber, so that the costs of relay and subscribers are measured
+	// separately.
 	frames [][][]byte
 }
 
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// hellos are the first messages of all subscribers.
+// hellos returns the hello messages of all subscribers.
 func (s *subscribers) hellos() [][]byte {
 	var hellos [][]byte
 	for _, subscriber := range s.all {
@@ -132,7 +133,7 @@
 	return hellos
 }
 
-// attach has the relay take on all subscribers and send what it has for them; it returns the bytes to each.
+// attach attaches all subscribers to the relay and collects the frames for them. It returns the bytes per subscriber.
 func (s *subscribers) attach(hellos [][]byte) (bytes float64, err error) {
 	for i, hello := range hellos {
 		s.ids[i], err = s.relay.Attach(s.now, hello, 0)
@@ -143,7 +144,7 @@
 	return s.send(), nil
 }
 
-// send collects the frames that the relay has for all, and returns the bytes to each.
+// send collects the frames that the relay has for all subscribers, and returns the bytes per subscriber.
 func (s *subscribers) send() float64 {
 	bytes := 0.0
 	for i, id := range s.ids {
@@ -159,7 +160,7 @@
 	return bytes / s.size
 }
 
-// receive has all subscribers take their frames.
+// receive delivers the buffered frames to all subscribers.
 func (s *subscribers) receive() error {
 	for i, subscriber := range s.all {
 		for _, frame := range s.frames[i] {
@@ -187,12 +188,12 @@
 	}
 	runtime.KeepAlive(hellos)
 	received := heapInUse()
-	frames := s.values["startwire"] * s.size // in memory while they waited, freed now
+	frames := s.values["startwire"] * s.size // bytes of the buffered frames, freed by now
 	s.values["relay"] = max(sent-before-frames, 0)
 	s.values["subscriber"] = max(received-sent+frames, 0) / s.size
 	for i, subscriber := range s.all {
 		if held := subscriber.Stats().Records; !subscriber.Complete() || held != scopesPerNode*serviceEndpoints {
-			return fmt.Errorf("subscriber %d holds %d of %d records", i, held, scopesPerNode*serviceEndpoints)
+			return fmt.Errorf("subscriber %d: got %d of %d records, or is not complete", i, held, scopesPerNode*serviceEndpoints)
 		}
 	}
 	return nil
@@ -250,7 +251,7 @@
 	}
 	for i, subscriber := range s.all {
 		if stats := subscriber.Stats(); stats.Snapshots+stats.Swept > 0 {
-			return fmt.Errorf("subscriber %d was sent its scopes anew", i)
+			return fmt.Errorf("subscriber %d: expected to resume from its position, got a snapshot", i)
 		}
 	}
 	return nil
--- a/internal/lab/scale/text.go
+++ b/internal/lab/scale/text.go
@@ -9,7 +9,7 @@
 	"text/tabwriter"
 )
 
-// formatCount writes a whole number with commas, any other with four digits.
+// formatCount formats a whole number with thousands separators, any other number with four significant digits.
 func formatCount(v float64) string {
 	if v != math.Trunc(v) {
 		return strconv.FormatFloat(v, 'g', 4, 64)
@@ -24,7 +24,7 @@
 	return text
 }
 
-// formatShort writes a number with three digits, and with k, M or G if it is large.
+// formatShort formats a number with three significant digits, and with the suffix k, M or G if it is large.
 func formatShort(v float64) string {
 	switch a := math.Abs(v); {
 	case a >= 1e9:
@@ -39,8 +39,8 @@
 	return strconv.FormatFloat(v, 'g', 3, 64)
 }
 
-// Print writes a table of what was measured at each size, the fit, and the value at the design size beside its limit;
-// then the notes.
+// Print writes a table with the measured values, the fit, the value at the design size and the limit of each slope,
+// followed by the notes.
 func Print(w io.Writer, r *Result) error {
 	var rows, notes strings.Builder
 	rows.WriteString("figure\tunit\tsizes: measured\tslope\tintercept\tresidual\tline holds to\tat design\tby\tlimit\tfactor\t\n")
@@ -80,7 +80,7 @@
 		formatShort(s.DesignValue), formatShort(s.DesignSize), s.SizeUnit, s.Source, limit, factor)
 }
 
-// notes returns the notes of all probes, each once: the slopes of one probe have the same.
+// notes returns the notes of all probes without duplicates: the slopes of one probe share their notes.
 func (r *Result) notes() []string {
 	var notes []string
 	seen := map[string]bool{}
--- a/internal/lab/scale/tree.go
+++ b/internal/lab/scale/tree.go
@@ -8,22 +8,23 @@
 	"fawnglade/internal/distribution"
 )
 
-// A distribution tree in virtual time: an origin, relays in two levels and subscribers. Frames take the delay of their
-// link, and relays send at the pace of a subscriber. Processors take no time here; other probes measure them.
+// A simulated distribution tree in virtual time: an origin, two levels of relays, and subscribers. Frames arrive after
+// the delay of their link, and relays limit their send rate to each subscriber. Processing takes no virtual time; other
+// probes measure its cost.
 
 const (
 	upperRelays = 3
 	lowerRelays = 15
-	farDelay    = 40 * millisecond // of links between regions
+	farDelay    = 40 * millisecond // delay of links between regions
 	nearDelay   = 1 * millisecond
 	second      = int64(1e9)
 	maxWait     = 120 * second
 )
 
-// settingsScope is followed by all nodes.
+// settingsScope is a scope that all nodes follow.
 const settingsScope = "all/settings"
 
-// event is something due; those due at one time happen in the order in which they were added.
+// event is a scheduled call. Events at the same time are executed in the order in which they were scheduled.
 type event struct {
 	at     int64
 	number int
@@ -60,34 +61,34 @@
 // tree is an origin, its relays and their subscribers.
 type tree struct {
 	now         int64
-	events      int // so far
+	events      int // number of events scheduled so far
 	queue       eventQueue
-	endpoints   int // in all scopes
+	endpoints   int // number in all scopes
 	origin      *distribution.Origin
-	relays      []*treeRelay // the origin's own first, then the upper, then the lower ones
+	relays      []*treeRelay // the origin's relay first, then the upper, then the lower ones
 	subscribers []*treeSubscriber
-	received    []int // subscribers that a frame came to since waitFor looked
+	received    []int // indexes of subscribers that received a frame since the last check of waitFor
 	err         error
 }
 
-// treeRelay is a relay with what follows it.
+// treeRelay is a relay with the links to its followers.
 type treeRelay struct {
 	relay *distribution.Relay
 	links map[int]*treeLink // by ID at the relay
 }
 
-// treeLink leads from a relay to one that follows it.
+// treeLink is a link from a relay to a follower.
 type treeLink struct {
-	receive func(frame []byte) // after the delay
+	receive func(frame []byte) // called after the delay
 	delay   int64
-	pollAt  int64 // when the relay is asked for frames again; 0: not
+	pollAt  int64 // time of the scheduled poll; 0: none is scheduled
 }
 
-// treeSubscriber is one node.
+// treeSubscriber is the subscriber of one node.
 type treeSubscriber struct {
 	subscriber *distribution.Subscriber
-	changes    int               // records that changed, since it was last set to 0
-	bytes      map[int64]float64 // by second of virtual time
+	changes    int               // changed records since resetChanges
+	bytes      map[int64]float64 // received, by second of virtual time
 }
 
 func (t *tree) schedule(at int64, do func()) {
@@ -97,7 +98,7 @@
 
 func (t *tree) fail(err error) { t.err = errors.Join(t.err, err) }
 
-// poll has a relay send what it has on one link.
+// poll sends all frames that a relay has for one link.
 func (t *tree) poll(r *treeRelay, id int) {
 	link := r.links[id]
 	for range maxFrames {
@@ -111,7 +112,7 @@
 	t.fail(errEndlessFrames)
 }
 
-// pollLater polls a link at a time, unless it is polled before.
+// pollLater schedules a poll of a link, unless an earlier one is scheduled.
 func (t *tree) pollLater(r *treeRelay, id int, at int64) {
 	link := r.links[id]
 	if link.pollAt > t.now && link.pollAt <= at {
@@ -126,14 +127,14 @@
 	})
 }
 
-// pollReady polls the links for which a relay has something.
+// pollReady polls the links for which a relay has frames.
 func (t *tree) pollReady(r *treeRelay) {
 	for _, id := range r.relay.Ready() {
 		t.poll(r, id)
 	}
 }
 
-// attach adds a link to a relay, with a pace in bytes a second; 0: no bound.
+// attach adds a link to a relay. pace limits its send rate in bytes per second; 0: unlimited.
 func (t *tree) attach(r *treeRelay, hello []byte, pace int, delay int64, receive func(frame []byte)) {
 	id, err := r.relay.Attach(t.now, hello, pace)
 	if err != nil {
@@ -144,7 +145,7 @@
 	t.pollReady(r)
 }
 
-// addRelay adds a relay that follows another.
+// addRelay adds a relay that follows the upstream relay.
 func (t *tree) addRelay(upstream *treeRelay) {
 	r := &treeRelay{relay: distribution.NewRelay(distribution.Limits{}), links: map[int]*treeLink{}}
 	if err := r.relay.Follow(allScopes()); err != nil {
@@ -159,7 +160,7 @@
 	t.relays = append(t.relays, r)
 }
 
-// addSubscriber adds a node that follows one of the lower relays.
+// addSubscriber adds the subscriber of a node, which follows one of the lower relays.
 func (t *tree) addSubscriber(node, pace int) error {
 	subscriber, err := distribution.NewSubscriber(t.selectors(node), distribution.Limits{})
 	if err != nil {
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// selectors of one node: some services of its region, and what all nodes follow.
+// selectors returns the selectors of a node: some services of its region, and settingsScope.
 func (t *tree) selectors(node int) []distribution.Selector {
 	selectors := []distribution.Selector{{Scope: settingsScope}}
 	services := t.endpoints / serviceEndpoints / regions
@@ -190,7 +191,8 @@
 	return selectors
 }
 
-// newTree makes a tree whose relays hold all records, and attaches the nodes, with a pace of bytes a second to each.
+// newTree returns a tree whose relays have all records and whose nodes are attached. pace limits the send rate to each
+// node in bytes per second.
 func newTree(nodes, endpoints, pace int) (*tree, error) {
 	t := &tree{now: probeStart, endpoints: endpoints, origin: distribution.NewOrigin(1, distribution.Limits{})}
 	if _, err := t.origin.Replace(t.now, "endpoint", makeRecords(endpoints, endpointRecord)); err != nil {
@@ -207,7 +209,7 @@
 		t.addRelay(t.relays[1+i%upperRelays])
 	}
 	if !t.run(maxWait, t.relaysComplete) {
-		return nil, errors.Join(t.err, errors.New("relays are not complete"))
+		return nil, errors.Join(t.err, errors.New("tree: expected all relays to become complete within the timeout"))
 	}
 	for i := range nodes {
 		if err := t.addSubscriber(i, pace); err != nil {
@@ -232,7 +234,8 @@
 	return true
 }
 
-// run lets time pass until a condition holds; false: it did not within a time, or there was an error.
+// run advances time until a condition holds. It returns false if the condition does not hold within atMost, or after an
+// error.
 func (t *tree) run(atMost int64, holds func() bool) bool {
 	end := t.now + atMost
 	for t.err == nil {
@@ -250,12 +253,13 @@
 	return false
 }
 
-// sleep lets time pass.
+// sleep advances time by a duration.
 func (t *tree) sleep(duration int64) {
 	t.run(duration, func() bool { return false })
 }
 
-// waitFor lets time pass until a part of the nodes has fulfilled a condition once, and returns how many have.
+// waitFor advances time until a fraction of the nodes has met a condition once, and returns the number of nodes that
+// have. inTime is false if that takes longer than maxWait.
 func (t *tree) waitFor(w *treeWait, fraction float64) (fulfilled int, inTime bool) {
 	inTime = t.run(maxWait, func() bool {
 		for _, i := range t.received {
@@ -270,14 +274,14 @@
 	return w.fulfilled, inTime
 }
 
-// treeWait is a condition with the nodes that have fulfilled it.
+// treeWait is a condition with the set of nodes that have met it.
 type treeWait struct {
 	holds     func(node int, s *treeSubscriber) bool
 	done      []bool
 	fulfilled int
 }
 
-// newWait makes a condition that is looked at for all nodes at first, and then for those that receive something.
+// newWait returns a condition that is checked for all nodes at first, and then for nodes that received a frame.
 func (t *tree) newWait(holds func(node int, s *treeSubscriber) bool) *treeWait {
 	t.received = t.received[:0]
 	for i := range t.subscribers {
@@ -286,10 +290,10 @@
 	return &treeWait{holds: holds, done: make([]bool, len(t.subscribers))}
 }
 
-// rateWindow is over how many seconds the worst rate is taken.
+// rateWindow is the number of seconds over which the highest rate is computed.
 const rateWindow = 10
 
-// takeWorstRate returns the highest rate to any node over rateWindow since the last call, bytes a second.
+// takeWorstRate returns the highest rate to any node over rateWindow since the last call, in bytes per second.
 func (t *tree) takeWorstRate() float64 {
 	worst := 0.0
 	for _, s := range t.subscribers {
