--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -18,13 +18,13 @@
 
 // huntFlags holds the flags of the hunt command.
 type huntFlags struct {
-	out      string
-	seed     uint64
-	draws    int
-	keep     int
-	nodes    int
-	by       string
-	baseline string
+	out          string
+	seed         uint64
+	draws        int
+	keep         int
+	nodes        int
+	by           string
+	baselineName string
 }
 
 func newHuntCommand() *cobra.Command {
@@ -46,7 +46,7 @@
 	c.Flags().IntVar(&f.keep, "keep", 8, "number of the worst timelines to mutate in each round")
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's)")
 	c.Flags().StringVar(&f.by, "by", moduleName, "decider to test")
-	c.Flags().StringVar(&f.baseline, "than", lateSeeingName, "decider to compare with")
+	c.Flags().StringVar(&f.baselineName, "than", lateSeeingName, "decider to compare with")
 	c.RunE = func(c *cobra.Command, args []string) error { return hunt(c, f, args[0]) }
 	return c
 }
@@ -81,7 +81,7 @@
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
-	baseline, err := runVirtual(ctx, virtualRun{s, seed, f.baseline})
+	baseline, err := runVirtual(ctx, virtualRun{s, seed, f.baselineName})
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
@@ -92,7 +92,7 @@
 	var out strings.Builder
 	for i, find := range finds {
 		path := filepath.Join(f.out, faultsearch.FindName(base, i+1)+".toml")
-		fmt.Fprintf(&out, "%s: loses %.3f against %s, %d rules broken, seed %d\n", path, find.Loss, f.baseline, find.Violations, find.Seed)
+		fmt.Fprintf(&out, "%s: loses %.3f against %s, %d rules broken, seed %d\n", path, find.Loss, f.baselineName, find.Violations, find.Seed)
 		for _, fault := range find.Faults {
 			fmt.Fprintf(&out, "  %s at %v for %v: share %.2f zone %q factor %.2f hand-offs %.2f wait %v %s%s\n",
 				fault.Kind, milliseconds(fault.At), milliseconds(fault.For), fault.Share, fault.Zone, fault.Factor, fault.AttemptShare,
--- a/internal/lab/distsim/phases.go
+++ b/internal/lab/distsim/phases.go
@@ -20,8 +20,8 @@
 
 // phase is one phase of a run.
 type phase struct {
-	name string
-	run  func(ctx context.Context, figures *Phase) error
+	name    string
+	execute func(ctx context.Context, figures *Phase) error
 }
 
 func (r *run) phases() []phase {
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -101,7 +101,7 @@
 	clients := r.clientStats()
 	stopSampling := r.sampleBytes()
 	before, ownBefore, began := r.usage(), ownProcessorTime(), time.Now()
-	err := p.run(ctx, figures)
+	err := p.execute(ctx, figures)
 	figures.Seconds = time.Since(began).Seconds()
 	figures.NodeCPU = 100 * float64(ownProcessorTime()-ownBefore) / 1e9 / figures.Seconds / float64(r.size.Nodes)
 	r.addProcesses(figures, before)
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -143,7 +143,7 @@
 		return nil, err
 	}
 	return startNode(h.env, nodeOptions{
-		dir: h.fleet.Dir, discovery: h.fleet.Discovery, index: index, addresses: h.fleet.Nodes[index],
+		dir: h.fleet.Dir, discovery: h.fleet.Discovery, index: index, nodeAddresses: h.fleet.Nodes[index],
 		stateDir: h.fleet.stateDir(index), features: features,
 	})
 }
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -83,12 +83,12 @@
 
 // nodeOptions are the options of startNode.
 type nodeOptions struct {
-	dir       string // directory for configuration and log
-	discovery string // address of discovery
-	index     int
-	addresses nodeAddresses
-	stateDir  string // empty: none
-	features  string // path of the features file; empty: none, and no gossip
+	dir           string // directory for configuration and log
+	discovery     string // address of discovery
+	index         int
+	nodeAddresses nodeAddresses
+	stateDir      string // empty: none
+	features      string // path of the features file; empty: none, and no gossip
 }
 
 // startAnywhere starts a node at free addresses.
@@ -99,13 +99,13 @@
 	}
 	return startNode(e, nodeOptions{
 		dir: dir, discovery: discovery, index: probeNode, stateDir: stateDir,
-		addresses: nodeAddresses{Listen: addresses[0], Admin: addresses[1]},
+		nodeAddresses: nodeAddresses{Listen: addresses[0], Admin: addresses[1]},
 	})
 }
 
 func startNode(e *Env, o nodeOptions) (*nodeProcess, error) {
 	config := filepath.Join(o.dir, "node.json")
-	text := nodeConfig(o.index, o.addresses, o.discovery, o.features != "")
+	text := nodeConfig(o.index, o.nodeAddresses, o.discovery, o.features != "")
 	if err := os.WriteFile(config, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	env := []string{
 		"NODE_CONFIG=" + config, "NODE_FEATURES=" + o.features, "NODE_STATE=" + o.stateDir, "NODE_CONSOLE=", "TMPDIR=" + o.dir,
 	}
-	p := &nodeProcess{admin: o.addresses.Admin, startedAt: time.Now()}
+	p := &nodeProcess{admin: o.nodeAddresses.Admin, startedAt: time.Now()}
 	p.Process, err = emulator.Command(e.NodeCommand)("", env, log)
 	return p, err
 }
