--- a/internal/lab/distsim/distsim_test.go
+++ b/internal/lab/distsim/distsim_test.go
@@ -151,7 +151,7 @@
 
 // runFaultyNode delivers changes to one node, with a fault injected into the changes or the subscriber's records, and
 // returns the figures of the phase.
-func runFaultyNode(t *testing.T, inject func(changes []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
+func runFaultyNode(t *testing.T, inject func(changesToDeliver []distribution.Change, f *fakeSubscriber) []distribution.Change) *Phase {
 	t.Helper()
 	s := Quick()
 	s.Nodes, s.SettleTimeout = 1, 0
@@ -169,11 +169,11 @@
 			f.records[recordKey{scope, key}] = distribution.Record{Scope: scope, Key: key, Version: 1, Body: []byte(record.body)}
 		}
 	}
-	var changes []distribution.Change
+	var changesToDeliver []distribution.Change
 	send := func(c Change) {
 		r.recordSent(c, 0)
 		if follows[c.Scope] {
-			changes = append(changes, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
+			changesToDeliver = append(changesToDeliver, distribution.Change{Record: distribution.Record{Scope: c.Scope, Key: c.Key, Version: uint64(1 + c.number), Deleted: c.Removed, Body: []byte(c.Body)}})
 		}
 	}
 	for range 5 {
@@ -184,7 +184,7 @@
 			send(r.expected.remove(i))
 		}
 	}
-	f.next = inject(changes, f)
+	f.next = inject(changesToDeliver, f)
 	if err := h.Receive(1000, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/distsim/hollownodes.go
+++ b/internal/lab/distsim/hollownodes.go
@@ -77,9 +77,9 @@
 	bodies map[string][]byte
 }
 
-func newHollowNodes(size Size, began time.Time, upstreams func(int) []string) *hollowNodes {
+func newHollowNodes(size Size, startedAt time.Time, upstreams func(int) []string) *hollowNodes {
 	n := &hollowNodes{
-		size: size, startedAt: began, upstreams: upstreams, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{},
+		size: size, startedAt: startedAt, upstreams: upstreams, log: zap.NewNop(), texts: map[string]string{}, bodies: map[string][]byte{},
 	}
 	for i := range size.Nodes {
 		n.all = append(n.all, &hollowNode{index: i, nodes: n})
--- a/internal/lab/distsim/origin.go
+++ b/internal/lab/distsim/origin.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	clock := relay.NewClock()
-	records, err := newOriginRecords(size, clock)
+	state, err := newOriginRecords(size, clock)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	server := relay.NewServer(records.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
+	server := relay.NewServer(state.origin.Relay(), relay.ServerConfig{Clock: clock}, zap.NewNop())
 	defer listener.Close()
 	go func() {
 		_ = server.Serve(listener) // returns when the listener is closed; other errors are logged
@@ -67,7 +67,7 @@
 		_ = server.Close(closeCtx) // remaining connections end with the process
 	}()
 	replies := json.NewEncoder(out)
-	first := originReply{Address: listener.Addr().String(), Version: records.version, Records: size.records()}
+	first := originReply{Address: listener.Addr().String(), Version: state.version, Records: size.records()}
 	if err := replies.Encode(first); err != nil {
 		return err
 	}
@@ -76,11 +76,11 @@
 		if err := json.Unmarshal(lines.Bytes(), &changes); err != nil {
 			return err
 		}
-		server.Do(func(now int64) { err = records.apply(now, changes) })
+		server.Do(func(now int64) { err = state.apply(now, changes) })
 		if err != nil {
 			return err
 		}
-		if err := replies.Encode(originReply{Version: records.version}); err != nil {
+		if err := replies.Encode(originReply{Version: state.version}); err != nil {
 			return err
 		}
 	}
