--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -20,10 +20,10 @@
 
 // gateFlags holds the flags of the gate command.
 type gateFlags struct {
-	nodes  int
-	seeds  int
-	by     string
-	asJSON bool
+	nodes       int
+	seeds       int
+	deciderName string
+	asJSON      bool
 }
 
 // gateReport is the JSON output of the gate command.
@@ -62,7 +62,7 @@
 	var f gateFlags
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenarios')")
 	c.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds for each scenario, counting up from the scenario's")
-	c.Flags().StringVar(&f.by, "by", moduleName, "decider to test")
+	c.Flags().StringVar(&f.deciderName, "by", moduleName, "decider to test")
 	c.Flags().BoolVar(&f.asJSON, "json", false, "print the result as one JSON object")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runGate(c, f, paths) }
 	return c
@@ -72,7 +72,7 @@
 	if f.seeds < 1 || f.seeds > 1000 {
 		return fmt.Errorf("--seeds: expected 1 to 1,000, got %d", f.seeds)
 	}
-	deciders := []string{f.by, lateSeeingName, randomName}
+	deciders := []string{f.deciderName, lateSeeingName, randomName}
 	var runs []virtualRun
 	for _, path := range paths {
 		s, err := readScenario(path, f.nodes)
--- a/cmd/fawnglade-lab/hunt.go
+++ b/cmd/fawnglade-lab/hunt.go
@@ -23,7 +23,7 @@
 	draws        int
 	keep         int
 	nodes        int
-	by           string
+	deciderName  string
 	baselineName string
 }
 
@@ -45,7 +45,7 @@
 	c.Flags().IntVar(&f.draws, "draws", 64, "number of random timelines in the first round")
 	c.Flags().IntVar(&f.keep, "keep", 8, "number of the worst timelines to mutate in each round")
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's)")
-	c.Flags().StringVar(&f.by, "by", moduleName, "decider to test")
+	c.Flags().StringVar(&f.deciderName, "by", moduleName, "decider to test")
 	c.Flags().StringVar(&f.baselineName, "than", lateSeeingName, "decider to compare with")
 	c.RunE = func(c *cobra.Command, args []string) error { return hunt(c, f, args[0]) }
 	return c
@@ -77,7 +77,7 @@
 
 // runBoth runs the tested decider and the baseline on one scenario and seed.
 func (f *huntFlags) runBoth(ctx context.Context, s *scenario.Scenario, seed uint64) (faultsearch.Score, error) {
-	judged, err := runVirtual(ctx, virtualRun{s, seed, f.by})
+	judged, err := runVirtual(ctx, virtualRun{s, seed, f.deciderName})
 	if err != nil {
 		return faultsearch.Score{}, err
 	}
--- a/cmd/fawnglade-lab/play.go
+++ b/cmd/fawnglade-lab/play.go
@@ -122,15 +122,15 @@
 
 // runFlags holds the flags of the run command.
 type runFlags struct {
-	seed    uint64
-	out     string
-	asJSON  bool
-	node    string
-	verbose bool
-	retries int
-	virtual bool
-	by      string
-	nodes   int
+	seed        uint64
+	out         string
+	asJSON      bool
+	node        string
+	verbose     bool
+	retries     int
+	virtual     bool
+	deciderName string
+	nodes       int
 }
 
 func newRunCommand() *cobra.Command {
@@ -156,7 +156,7 @@
 	c.Flags().BoolVar(&f.verbose, "verbose", false, "log events of the lab to standard error")
 	c.Flags().IntVar(&f.retries, "retry", 1, "maximum number of repeats of a run in which the lab lagged")
 	c.Flags().BoolVar(&f.virtual, "virtual", false, "run in virtual time: no sockets, no processes, deterministic figures")
-	c.Flags().StringVar(&f.by, "by", moduleName,
+	c.Flags().StringVar(&f.deciderName, "by", moduleName,
 		"decider in virtual time: "+moduleName+" or "+strings.Join(baseline.Names(), ", "))
 	c.Flags().IntVar(&f.nodes, "nodes", 0, "number of nodes (default the scenario's); the load does not change")
 	c.RunE = func(c *cobra.Command, paths []string) error { return runScenarios(c, f, paths) }
@@ -236,7 +236,7 @@
 	var r *result.Result
 	var err error
 	if f.virtual {
-		r, err = runVirtual(ctx, virtualRun{s, seed, f.by})
+		r, err = runVirtual(ctx, virtualRun{s, seed, f.deciderName})
 	} else {
 		r, err = f.runWithRetries(ctx, runOptions{scenario: s, seed: seed, node: command, out: dir, verbose: f.verbose})
 	}
--- a/cmd/fawnglade-lab/sweep.go
+++ b/cmd/fawnglade-lab/sweep.go
@@ -14,10 +14,10 @@
 
 // sweepFlags holds the flags of the sweep command.
 type sweepFlags struct {
-	out     string
-	seed    uint64
-	repeats int
-	by      []string
+	out          string
+	seed         uint64
+	repeats      int
+	deciderNames []string
 }
 
 func newSweepCommand() *cobra.Command {
@@ -36,7 +36,7 @@
 	c.Flags().StringVar(&f.out, "out", "swept", "directory for the table and the plots")
 	c.Flags().Uint64Var(&f.seed, "seed", 1, "first seed")
 	c.Flags().IntVar(&f.repeats, "repeats", 3, "number of runs, with different seeds, for each combination of values")
-	c.Flags().StringSliceVar(&f.by, "by", []string{moduleName}, "deciders, separated by commas")
+	c.Flags().StringSliceVar(&f.deciderNames, "by", []string{moduleName}, "deciders, separated by commas")
 	c.RunE = func(c *cobra.Command, args []string) error { return runSweep(c, f, args[0], args[1:]) }
 	return c
 }
@@ -53,12 +53,12 @@
 	if err != nil {
 		return err
 	}
-	for _, name := range f.by {
+	for _, name := range f.deciderNames {
 		if _, err := deciderByName(name); err != nil {
 			return err
 		}
 	}
-	cells := sweep.Grid(axes, f.by, f.seed, f.repeats)
+	cells := sweep.Grid(axes, f.deciderNames, f.seed, f.repeats)
 	scenarios, err := scenariosOf(cells, path, text, axes)
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 		return err
 	}
 	rows := table.Rows()
-	if err := sweep.Plot(f.out, axes, f.by, rows); err != nil {
+	if err := sweep.Plot(f.out, axes, f.deciderNames, rows); err != nil {
 		return err
 	}
 	return sweep.Print(c.OutOrStdout(), axes, rows)
@@ -115,7 +115,7 @@
 	fmt.Fprintf(os.Stderr, "%d runs, %d of them finished earlier\n", len(cells), len(cells)-len(unplayed))
 	return forEachInParallel(c.Context(), len(unplayed), func(i int) error {
 		cell := unplayed[i]
-		r, err := runVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.By})
+		r, err := runVirtual(c.Context(), virtualRun{scenarios[valuesKey(cell)], cell.Seed, cell.Decider})
 		if err != nil {
 			return err
 		}
--- a/cmd/fawnglade-lab/virtual.go
+++ b/cmd/fawnglade-lab/virtual.go
@@ -30,20 +30,20 @@
 
 // virtualRun is one run of a scenario in virtual time.
 type virtualRun struct {
-	scenario *scenario.Scenario
-	seed     uint64
-	by       string // name of the decider
+	scenario    *scenario.Scenario
+	seed        uint64
+	deciderName string // name of the decider
 }
 
 // runVirtual runs a scenario in virtual time in the calling goroutine.
 func runVirtual(ctx context.Context, run virtualRun) (*result.Result, error) {
-	decider, err := deciderByName(run.by)
+	decider, err := deciderByName(run.deciderName)
 	if err != nil {
 		return nil, err
 	}
 	trace, err := simulation.Run(ctx, simulation.Options{Scenario: run.scenario, Seed: run.seed, NewDecider: decider})
 	if err != nil {
-		return nil, fmt.Errorf("%s, seed %d, %s: %w", run.scenario.Name, run.seed, run.by, err)
+		return nil, fmt.Errorf("%s, seed %d, %s: %w", run.scenario.Name, run.seed, run.deciderName, err)
 	}
 	return result.FromTrace(run.scenario, trace), nil
 }
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -13,14 +13,14 @@
 // Probe of membership: package members runs for all nodes in virtual time, on a network that loses some datagrams.
 
 const (
-	datagramLoss  = 0.05
-	maxMembers    = 4096 // limit of package members
-	maxUpTime     = 300 * second
-	maxDeathTime  = 200 * second
-	maxSettleTime = 600 * second
+	datagramLoss     = 0.05
+	maxMembers       = 4096 // limit of package members
+	upTimeout        = 300 * second
+	detectionTimeout = 200 * second
+	idleTimeout      = 600 * second
 	// maxIdleDatagramBytes is a bound on the mean size of the datagrams of a fleet without membership updates.
 	maxIdleDatagramBytes = 100
-	membersWatch         = 20 * second
+	idleMeasurementTime  = 20 * second
 	deathPoll            = 100 * millisecond
 	methodMembers        = "virtual time, 5% of datagrams lost"
 	membersSeed          = 1 // random seed of the fleet
@@ -140,8 +140,8 @@
 
 func (m *membersMeasurement) waitUntilUp() (note string, err error) {
 	for !allSeeAllAlive(m.fleet) {
-		if m.fleet.Now()-m.startedAt > maxUpTime {
-			return fmt.Sprintf("not all knew all within %d s", maxUpTime/second), nil
+		if m.fleet.Now()-m.startedAt > upTimeout {
+			return fmt.Sprintf("not all knew all within %d s", upTimeout/second), nil
 		}
 		if err := m.ctx.Err(); err != nil {
 			return "", err
@@ -156,8 +156,8 @@
 // waitUntilIdle waits until datagrams carry almost no membership updates.
 func (m *membersMeasurement) waitUntilIdle() (note string, err error) {
 	for atRest := false; !atRest; {
-		if m.fleet.Now()-m.startedAt > maxSettleTime {
-			return fmt.Sprintf("still telling of the start after %d s, so nothing was measured of a fleet at rest", maxSettleTime/second), nil
+		if m.fleet.Now()-m.startedAt > idleTimeout {
+			return fmt.Sprintf("still telling of the start after %d s, so nothing was measured of a fleet at rest", idleTimeout/second), nil
 		}
 		if err := m.ctx.Err(); err != nil {
 			return "", err
@@ -172,7 +172,7 @@
 
 // measureIdle measures the fleet while nothing changes.
 func (m *membersMeasurement) measureIdle() {
-	watch := pick(m.env, membersWatch, membersWatch/4)
+	watch := pick(m.env, idleMeasurementTime, idleMeasurementTime/4)
 	seconds := float64(watch) / 1e9
 	var sent traffic
 	m.values["cpu"] = 100 * cpuTimeOf(func() { sent = m.watchTraffic(watch) }) / m.size / seconds
@@ -188,9 +188,9 @@
 	for _, percent := range []int{50, 90, 99, 100} {
 		figure := fmt.Sprint(name, percent)
 		for float64(countNodesSeeing(m.fleet, victim, members.Dead)) < float64(percent)/100*others || m.fleet.Now() == killed {
-			if m.fleet.Now()-killed > maxDeathTime {
+			if m.fleet.Now()-killed > detectionTimeout {
 				return fmt.Sprintf("%s: %d of %.0f held it silent after %d s",
-					figure, countNodesSeeing(m.fleet, victim, members.Dead), others, maxDeathTime/second), nil
+					figure, countNodesSeeing(m.fleet, victim, members.Dead), others, detectionTimeout/second), nil
 			}
 			if err := m.ctx.Err(); err != nil {
 				return "", err
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -91,8 +91,8 @@
 	features      string // path of the features file; empty: none, and no gossip
 }
 
-// startAnywhere starts a node at free addresses.
-func startAnywhere(e *Env, dir, discovery, stateDir string) (*nodeProcess, error) {
+// startNodeAtFreeAddresses starts a node at free addresses.
+func startNodeAtFreeAddresses(e *Env, dir, discovery, stateDir string) (*nodeProcess, error) {
 	addresses, err := freeAddresses(2)
 	if err != nil {
 		return nil, err
@@ -181,7 +181,7 @@
 }
 
 // work is the cost of the work that a process did.
-type work struct {
+type workCost struct {
 	processor float64 // CPU seconds in excess of the idle process
 	elapsed   float64 // seconds until it was idle again
 }
@@ -190,7 +190,7 @@
 	quietStep       = 20 * time.Millisecond
 	quietSteps      = 50    // steps without work: on a busy machine a process with work may not be scheduled for a while
 	quickQuietSteps = 5     // in a quick run
-	quietProcessor  = 0.003 // CPU seconds over those steps that still count as no work
+	quietCPUSeconds = 0.003 // CPU seconds over those steps that still count as no work
 )
 
 // workMeter measures the work of a process. It is created before the process is given the work.
@@ -206,20 +206,20 @@
 }
 
 // waitUntilIdle waits until the process has finished its work or the timeout has passed.
-func (m *workMeter) waitUntilIdle(timeout time.Duration) work {
+func (m *workMeter) waitUntilIdle(timeout time.Duration) workCost {
 	steps := quietSteps
 	if timeout <= quickReadyTimeout {
 		steps = quickQuietSteps
 	}
 	window := float64(steps) * quietStep.Seconds()
-	quiet := max(quietProcessor, 2*m.idle*window)
+	quiet := max(quietCPUSeconds, 2*m.idle*window)
 	var seen []float64
 	for {
 		seen = append(seen, m.process.processorSeconds())
 		since := time.Since(m.startedAt).Seconds()
 		last := len(seen) - 1
 		if last >= steps && seen[last]-seen[last-steps] < quiet || since > timeout.Seconds() {
-			return work{max(seen[last]-m.before-m.idle*since, 0), max(since-window, 0)}
+			return workCost{max(seen[last]-m.before-m.idle*since, 0), max(since-window, 0)}
 		}
 		time.Sleep(quietStep)
 	}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -118,7 +118,7 @@
 	}
 	defer func() { err = errors.Join(err, os.RemoveAll(p.dir)) }()
 	p.timeout = pick(e, readyTimeout, quickReadyTimeout)
-	p.watch = pick(e, 3*time.Second, 300*time.Millisecond)
+	p.idleTime = pick(e, 3*time.Second, 300*time.Millisecond)
 	p.discovery, err = newDiscovery(p.endpoints)
 	if err != nil {
 		return m, err
@@ -141,7 +141,7 @@
 	endpoints int
 	dir       string
 	timeout   time.Duration // for the node to become ready
-	watch     time.Duration // duration of the measurement of an idle node
+	idleTime  time.Duration // duration of the measurement of an idle node
 	discovery *discovery
 	version   int64 // current version of the endpoint list
 	node      *nodeProcess
@@ -151,7 +151,7 @@
 
 // measureFromDiscovery measures a node without a state directory.
 func (p *processMeasurement) measureFromDiscovery() (note string, err error) {
-	p.node, err = startAnywhere(p.env, p.dir, p.discovery.address(), "")
+	p.node, err = startNodeAtFreeAddresses(p.env, p.dir, p.discovery.address(), "")
 	if err != nil {
 		return "", err
 	}
@@ -188,8 +188,8 @@
 }
 
 func (p *processMeasurement) measureIdle() error {
-	time.Sleep(min(time.Second, p.watch))
-	p.idle = p.node.idleShare(p.watch)
+	time.Sleep(min(time.Second, p.idleTime))
+	p.idle = p.node.idleShare(p.idleTime)
 	p.values["idle"] = 100 * p.idle
 	memory, err := readResident(p.node.PID())
 	p.values["memory"] = memory.now
@@ -268,7 +268,7 @@
 	}
 	address := p.discovery.address()
 	p.discovery.close()
-	p.node, err = startAnywhere(p.env, p.dir, address, stateDir)
+	p.node, err = startNodeAtFreeAddresses(p.env, p.dir, address, stateDir)
 	if err != nil {
 		return "", err
 	}
@@ -279,7 +279,7 @@
 	}
 	p.values["diskready"] = ready
 	p.values["diskcpu"] = p.node.processorSeconds()
-	time.Sleep(min(time.Second, p.watch))
+	time.Sleep(min(time.Second, p.idleTime))
 	memory, err := readResident(p.node.PID())
 	if err != nil {
 		return "", err
@@ -293,7 +293,7 @@
 
 // storeState runs a node until its state on disk no longer grows, and then kills it.
 func (p *processMeasurement) storeState(dir string) (note string, err error) {
-	p.node, err = startAnywhere(p.env, p.dir, p.discovery.address(), dir)
+	p.node, err = startNodeAtFreeAddresses(p.env, p.dir, p.discovery.address(), dir)
 	if err != nil {
 		return "", err
 	}
@@ -301,7 +301,7 @@
 	if _, err := p.node.waitUntilReady(p.ctx, p.timeout); err != nil {
 		return "with a memory: " + err.Error(), nil
 	}
-	for before := -1.0; ; time.Sleep(min(p.watch, diskPoll)) {
+	for before := -1.0; ; time.Sleep(min(p.idleTime, diskPoll)) {
 		stored := sizeOfFiles(dir)
 		p.values["disk"] = stored
 		if stored == before && stored > 0 {
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -31,9 +31,9 @@
 
 // Cell is one run of the grid.
 type Cell struct {
-	Values []string // one for each axis
-	By     string   // name of the decider
-	Seed   uint64
+	Values  []string // one for each axis
+	Decider string   // name of the decider
+	Seed    uint64
 }
 
 // name identifies the cell within its sweep.
@@ -41,7 +41,7 @@
 
 // fields returns the leading fields of the cell's row in the table: its values, decider and seed.
 func (c Cell) fields() []string {
-	return append(slices.Clone(c.Values), c.By, strconv.FormatUint(c.Seed, 10))
+	return append(slices.Clone(c.Values), c.Decider, strconv.FormatUint(c.Seed, 10))
 }
 
 // Grid returns all cells: combinations of the axes' values in the outer loop, then deciders, then as many seeds as
--- a/internal/lab/sweep/text.go
+++ b/internal/lab/sweep/text.go
@@ -36,7 +36,7 @@
 func selectRows(rows []Row, by string, values ...string) []Row {
 	var selected []Row
 	for _, r := range rows {
-		if r.By == by && slices.Equal(r.Values, values) {
+		if r.Decider == by && slices.Equal(r.Values, values) {
 			selected = append(selected, r)
 		}
 	}
@@ -52,12 +52,12 @@
 	fmt.Fprintf(&text, "by\tdays\t%s\t\n", strings.Join(Columns, "\t"))
 	printed := map[string]bool{}
 	for _, r := range rows {
-		key := strings.Join(append(slices.Clone(r.Values), r.By), "\t")
+		key := strings.Join(append(slices.Clone(r.Values), r.Decider), "\t")
 		if printed[key] {
 			continue
 		}
 		printed[key] = true
-		repeats := selectRows(rows, r.By, r.Values...)
+		repeats := selectRows(rows, r.Decider, r.Values...)
 		fmt.Fprintf(&text, "%s\t%d", key, len(repeats))
 		for column := range Columns {
 			e := estimateOf(repeats, column)
