--- a/cmd/fawnglade-lab/gate.go
+++ b/cmd/fawnglade-lab/gate.go
@@ -80,8 +80,8 @@
 			return err
 		}
 		for n := range f.seeds {
-			for _, by := range deciders {
-				runs = append(runs, virtualRun{s, s.Seed + uint64(n), by})
+			for _, deciderName := range deciders {
+				runs = append(runs, virtualRun{s, s.Seed + uint64(n), deciderName})
 			}
 		}
 	}
--- a/internal/lab/distsim/run.go
+++ b/internal/lab/distsim/run.go
@@ -100,9 +100,9 @@
 	r.prepareNodes()
 	clients := r.clientStats()
 	stopSampling := r.sampleBytes()
-	before, ownBefore, began := r.usage(), ownProcessorTime(), time.Now()
+	before, ownBefore, startedAt := r.usage(), ownProcessorTime(), time.Now()
 	err := p.execute(ctx, figures)
-	figures.Seconds = time.Since(began).Seconds()
+	figures.Seconds = time.Since(startedAt).Seconds()
 	figures.NodeCPU = 100 * float64(ownProcessorTime()-ownBefore) / 1e9 / figures.Seconds / float64(r.size.Nodes)
 	r.addProcesses(figures, before)
 	bytes := r.totalBytes() - before.bytes
@@ -133,12 +133,12 @@
 
 // settlePhase waits until the nodes have the expected records, if nodes have been started.
 func (r *run) settlePhase(ctx context.Context, figures *Phase) {
-	began := time.Now()
+	startedAt := time.Now()
 	if r.started {
 		figures.NodeMB = float64(residentMemory(os.Getpid())-r.baseMemory) / float64(r.size.Nodes) / (1 << 20)
 		r.settle(ctx, figures)
 	}
-	figures.SettleSeconds = time.Since(began).Seconds()
+	figures.SettleSeconds = time.Since(startedAt).Seconds()
 }
 
 func (r *run) logPhase(figures *Phase) {
--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -145,9 +145,9 @@
 	costs := requestCosts{sorted: make([]float64, 0, requests)}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := threadTime()
+	startedAt := threadTime()
 	for i, id := range ids {
-		if i >= minRequests && threadTime()-began > seconds {
+		if i >= minRequests && threadTime()-startedAt > seconds {
 			break
 		}
 		in.now += interval
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -130,7 +130,7 @@
 
 func (d *diskMeasurement) measureFirstWrite(stateStore *store.Store, states []*nodestate.State) error {
 	var err error
-	began := time.Now()
+	startedAt := time.Now()
 	d.values["write"] = cpuTimeOf(func() {
 		for _, state := range states {
 			if err == nil {
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	d.values["written"] = time.Since(began).Seconds()
+	d.values["written"] = time.Since(startedAt).Seconds()
 	d.values["bytes"] = sizeOfFiles(d.path)
 	return nil
 }
@@ -167,7 +167,7 @@
 // measureOpen measures a start from the store, and returns the number of endpoints that the state has kept.
 func (d *diskMeasurement) measureOpen() (kept int, err error) {
 	before := heapInUse()
-	began := time.Now()
+	startedAt := time.Now()
 	var stateStore *store.Store
 	var state *nodestate.State
 	d.values["open"] = cpuTimeOf(func() {
@@ -182,7 +182,7 @@
 	if err != nil {
 		return 0, err
 	}
-	d.values["opened"] = time.Since(began).Seconds()
+	d.values["opened"] = time.Since(startedAt).Seconds()
 	kept = state.EndpointCount()
 	state = nil // to measure the memory of the store alone
 	d.values["index"] = heapInUse() - before
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -175,11 +175,11 @@
 // usageDuring measures both processes during a call of do.
 func (h *hollowMeasurement) usageDuring(do func() error) (usage, error) {
 	u := usage{hollow: -h.hollow.processorSeconds(), real: -h.real.processorSeconds()}
-	began := time.Now()
+	startedAt := time.Now()
 	err := do()
 	u.hollow += h.hollow.processorSeconds()
 	u.real += h.real.processorSeconds()
-	u.elapsed = time.Since(began).Seconds()
+	u.elapsed = time.Since(startedAt).Seconds()
 	return u, err
 }
 
--- a/internal/lab/scale/hollownodes.go
+++ b/internal/lab/scale/hollownodes.go
@@ -70,8 +70,8 @@
 		go func() { ended <- n.Run(nil) }()
 	}
 	for _, addresses := range f.hollow() {
-		for began := time.Now(); !isReady(addresses.Admin); time.Sleep(readyPoll) {
-			if time.Since(began) > readyTimeout {
+		for startedAt := time.Now(); !isReady(addresses.Admin); time.Sleep(readyPoll) {
+			if time.Since(startedAt) > readyTimeout {
 				return fmt.Errorf("hollow node %s: not ready within %v", addresses.Name, readyTimeout)
 			}
 		}
--- a/internal/lab/scale/members.go
+++ b/internal/lab/scale/members.go
@@ -172,10 +172,10 @@
 
 // measureIdle measures the fleet while nothing changes.
 func (m *membersMeasurement) measureIdle() {
-	watch := pick(m.env, idleMeasurementTime, idleMeasurementTime/4)
-	seconds := float64(watch) / 1e9
+	duration := pick(m.env, idleMeasurementTime, idleMeasurementTime/4)
+	seconds := float64(duration) / 1e9
 	var sent traffic
-	m.values["cpu"] = 100 * cpuTimeOf(func() { sent = m.watchTraffic(watch) }) / m.size / seconds
+	m.values["cpu"] = 100 * cpuTimeOf(func() { sent = m.watchTraffic(duration) }) / m.size / seconds
 	m.values["datagrams"] = sent.datagrams / m.size / seconds
 	m.values["bytes"] = sent.bytes / m.size / seconds
 }
--- a/internal/lab/scale/nodeprocess.go
+++ b/internal/lab/scale/nodeprocess.go
@@ -174,10 +174,10 @@
 }
 
 // idleShare measures an idle process for the given duration, and returns its CPU time as a fraction of a core.
-func (p *nodeProcess) idleShare(watch time.Duration) float64 {
-	before, began := p.processorSeconds(), time.Now()
-	time.Sleep(watch)
-	return (p.processorSeconds() - before) / time.Since(began).Seconds()
+func (p *nodeProcess) idleShare(duration time.Duration) float64 {
+	before, startedAt := p.processorSeconds(), time.Now()
+	time.Sleep(duration)
+	return (p.processorSeconds() - before) / time.Since(startedAt).Seconds()
 }
 
 // work is the cost of the work that a process did.
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -77,7 +77,7 @@
 
 // measureUntil measures the time until 99% and 100% of the nodes meet a condition.
 func (t *tree) measureUntil(v Values, name string, holds func(node int, s *treeSubscriber) bool) error {
-	began := t.now
+	startedAt := t.now
 	wait := t.newWait(holds)
 	for _, percent := range []int{99, 100} {
 		figure := fmt.Sprint(name, percent)
@@ -85,7 +85,7 @@
 		if !inTime {
 			return errors.Join(t.err, fmt.Errorf("%s: only %d of %d nodes met the condition within %d s", figure, fulfilled, len(t.subscribers), maxWait/second))
 		}
-		v[figure] = float64(t.now-began) / 1e9
+		v[figure] = float64(t.now-startedAt) / 1e9
 	}
 	return t.err
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -117,7 +117,7 @@
 
 // measureSize runs one probe at one size, and logs its note and duration. An error becomes a note.
 func (o *Options) measureSize(ctx context.Context, p *Probe, size float64) Measurement {
-	began := time.Now()
+	startedAt := time.Now()
 	m, err := p.Measure(ctx, &o.Env, size)
 	if err != nil {
 		m.Note = "not measured: " + err.Error()
@@ -125,7 +125,7 @@
 	if m.Note != "" {
 		o.Env.logf("  %s", m.Note)
 	}
-	o.Env.logf("  took %.1f s", time.Since(began).Seconds())
+	o.Env.logf("  took %.1f s", time.Since(startedAt).Seconds())
 	return m
 }
 
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -40,8 +40,8 @@
 func plotLines(path string, axis Axis, deciders []string, rows []Row, column int) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = Columns[column], axis.Key, Columns[column]
-	for i, by := range deciders {
-		points := estimatesOf(axis, by, rows, column)
+	for i, decider := range deciders {
+		points := estimatesOf(axis, decider, rows, column)
 		line, dots, err := plotter.NewLinePoints(points.XYs)
 		if err != nil {
 			return err
@@ -53,17 +53,17 @@
 		color := plotutil.Color(i)
 		line.Color, dots.Color, bars.Color = color, color, color
 		p.Add(line, dots, bars)
-		p.Legend.Add(by, line)
+		p.Legend.Add(decider, line)
 	}
 	p.Legend.Top = true
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
 // estimatesOf returns the estimates along an axis. Values without a finished run are omitted.
-func estimatesOf(axis Axis, by string, rows []Row, column int) estimates {
+func estimatesOf(axis Axis, decider string, rows []Row, column int) estimates {
 	var points estimates
 	for i, value := range axis.Values {
-		repeats := selectRows(rows, by, value)
+		repeats := selectRows(rows, decider, value)
 		if len(repeats) == 0 {
 			continue
 		}
@@ -100,13 +100,13 @@
 // Z implements plotter.GridXYZ.
 func (h heatMap) Z(column, row int) float64 { return h.means[column][row] }
 
-func plotHeatMap(path string, axes []Axis, by string, rows []Row, column int) error {
+func plotHeatMap(path string, axes []Axis, decider string, rows []Row, column int) error {
 	grid := heatMap{axes: axes}
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, x := range axes[0].Values {
 		var means []float64
 		for _, y := range axes[1].Values {
-			mean := estimateOf(selectRows(rows, by, x, y), column).mean
+			mean := estimateOf(selectRows(rows, decider, x, y), column).mean
 			means = append(means, mean)
 			low, high = math.Min(low, mean), math.Max(high, mean)
 		}
@@ -121,7 +121,7 @@
 	cells := plotter.NewHeatMap(grid, colors.Palette(heatMapColors))
 	cells.Min, cells.Max = low, high
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", Columns[column], by, low, high)
+	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", Columns[column], decider, low, high)
 	p.X.Label.Text, p.Y.Label.Text = axes[0].Key, axes[1].Key
 	p.NominalX(axes[0].Values...)
 	p.NominalY(axes[1].Values...)
--- a/internal/lab/sweep/sweep.go
+++ b/internal/lab/sweep/sweep.go
@@ -59,9 +59,9 @@
 	}
 	var cells []Cell
 	for _, values := range combinations {
-		for _, by := range deciders {
+		for _, decider := range deciders {
 			for n := range repeats {
-				cells = append(cells, Cell{values, by, firstSeed + uint64(n)})
+				cells = append(cells, Cell{values, decider, firstSeed + uint64(n)})
 			}
 		}
 	}
--- a/internal/lab/sweep/table.go
+++ b/internal/lab/sweep/table.go
@@ -119,12 +119,12 @@
 
 // parse parses a row. The CSV reader has already checked the number of fields.
 func (t *Table) parse(fields []string) (Row, error) {
-	values, by, figures := len(t.axes), len(t.axes), len(t.axes)+2
-	seed, err := strconv.ParseUint(fields[by+1], 10, 64)
+	values, deciderField, figures := len(t.axes), len(t.axes), len(t.axes)+2
+	seed, err := strconv.ParseUint(fields[deciderField+1], 10, 64)
 	if err != nil {
 		return Row{}, err
 	}
-	row := Row{Cell: Cell{slices.Clone(fields[:values]), fields[by], seed}}
+	row := Row{Cell: Cell{slices.Clone(fields[:values]), fields[deciderField], seed}}
 	for _, field := range fields[figures:] {
 		v, err := strconv.ParseFloat(field, 64)
 		if err != nil {
--- a/internal/lab/sweep/text.go
+++ b/internal/lab/sweep/text.go
@@ -33,10 +33,10 @@
 }
 
 // selectRows returns the rows of one decider with the given values, one for each seed.
-func selectRows(rows []Row, by string, values ...string) []Row {
+func selectRows(rows []Row, decider string, values ...string) []Row {
 	var selected []Row
 	for _, r := range rows {
-		if r.Decider == by && slices.Equal(r.Values, values) {
+		if r.Decider == decider && slices.Equal(r.Values, values) {
 			selected = append(selected, r)
 		}
 	}
