--- a/cmd/fawnglade-lab/main_test.go
+++ b/cmd/fawnglade-lab/main_test.go
@@ -63,18 +63,18 @@
 		args []string
 		want string
 	}{
-		"unknown key":      {[]string{"run", writeScenario(t, "name = \"x\"\nsped = 1\n")}, "x.toml:2: unknown key sped"},
-		"no such file":     {[]string{"run", "/nowhere.toml"}, "no such file"},
-		"no scenario":      {[]string{"run"}, "requires at least 1 arg"},
-		"no such node":     {[]string{"demo", "--node", "/nowhere/node"}, "/nowhere/node"},
-		"no such plain":    {[]string{"demo", "--node", "plain:best"}, "expected plain: and one of random"},
-		"too short":        {[]string{"demo", "--seconds", "1"}, "expected 6 to 600"},
-		"no such order":    {[]string{"play"}, "unknown command"},
-		"a node that ends": {[]string{"demo", "--node", "false x"}, "ended before it was ready"},
-		"over its memory":  {[]string{"distribution", "--take", "5000", "--shared", "5000"}, "half of the machine's memory"},
-		"too many at once": {[]string{"distribution", "--lower", "400"}, "expected 200 at most"},
-		"no relay there":   {[]string{"distribution", "--quick", "--relay", "/nowhere/fawnglade"}, "/nowhere/fawnglade"},
-		"no result there":  {[]string{"report", t.TempDir()}, "no such file"},
+		"unknown key":             {[]string{"run", writeScenario(t, "name = \"x\"\nsped = 1\n")}, "x.toml:2: unknown key sped"},
+		"no such file":            {[]string{"run", "/nowhere.toml"}, "no such file"},
+		"no scenario":             {[]string{"run"}, "requires at least 1 arg"},
+		"missing node program":    {[]string{"demo", "--node", "/nowhere/node"}, "/nowhere/node"},
+		"unknown reference proxy": {[]string{"demo", "--node", "plain:best"}, "expected plain: and one of random"},
+		"too short":               {[]string{"demo", "--seconds", "1"}, "expected 6 to 600"},
+		"unknown command":         {[]string{"play"}, "unknown command"},
+		"node ends at start":      {[]string{"demo", "--node", "false x"}, "ended before it was ready"},
+		"too much memory":         {[]string{"distribution", "--take", "5000", "--shared", "5000"}, "half of the machine's memory"},
+		"too many processes":      {[]string{"distribution", "--lower", "400"}, "expected 200 at most"},
+		"missing relay program":   {[]string{"distribution", "--quick", "--relay", "/nowhere/fawnglade"}, "/nowhere/fawnglade"},
+		"missing result":          {[]string{"report", t.TempDir()}, "no such file"},
 	} {
 		if code, out, stderrText := runLab(t, c.args...); code != exitNotRun || out != "" || !strings.Contains(stderrText, c.want) {
 			t.Errorf("%s: got exit code %d, stdout %q, stderr %q; want exit code 2, no stdout and %q in stderr", name, code, out, stderrText, c.want)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestDemo checks the demo with a real node, including its fault and its drain: exit code, figures and report page.
+// TestDemo checks the demo with a real node, including its fault and its drain: exit code 0, figures and report page.
 func TestDemo(t *testing.T) {
 	var code int
 	var out, stderrText string
@@ -125,8 +125,8 @@
 	dir, scenarioPath := t.TempDir(), filepath.Join("..", "..", "lab", "scenarios", "slow.toml")
 	dirs := []string{filepath.Join(dir, "random", "slow"), filepath.Join(dir, "round-robin", "slow")}
 	for _, d := range dirs {
-		by := filepath.Base(filepath.Dir(d))
-		if code, _, stderrText := runLab(t, "run", scenarioPath, "--virtual", "--by", by, "--out", filepath.Dir(d)); code == exitNotRun {
+		decider := filepath.Base(filepath.Dir(d))
+		if code, _, stderrText := runLab(t, "run", scenarioPath, "--virtual", "--by", decider, "--out", filepath.Dir(d)); code == exitNotRun {
 			t.Fatal(stderrText)
 		}
 	}
