--- a/internal/lab/emulator/clients.go
+++ b/internal/lab/emulator/clients.go
@@ -86,7 +86,7 @@
 type clientConn struct {
 	pool         *pool
 	conn         net.Conn
-	in           *reader
+	reader       *reader
 	requests     chan *clientRequest
 	lastAnswered *invariant.Request // the try whose answer came last, while nothing has been written behind it
 	buffer       []byte
@@ -262,7 +262,7 @@
 		r.conn.Close()
 		r.pool.mu.Lock()
 		delete(r.pool.connections, r)
-		r.conn, r.in = nil, nil // the day's end asks for it as well
+		r.conn, r.reader = nil, nil // the day's end asks for it as well
 		r.pool.mu.Unlock()
 	}
 }
@@ -292,12 +292,12 @@
 func (r *clientConn) checkIdle() (ended bool) {
 	r.conn.SetReadDeadline(time.Time{})
 	more, ended := connState(r.conn)
-	if (more || r.in.pending() > 0) && r.lastAnswered != nil {
+	if (more || r.reader.pending() > 0) && r.lastAnswered != nil {
 		rec, now := r.lastAnswered, r.pool.clients.run.now()
 		r.pool.clients.run.history.Update(func() { rec.ExtraAt = min(rec.ExtraAt, now) })
 		r.lastAnswered = nil
 	}
-	return ended || more || r.in.pending() > 0
+	return ended || more || r.reader.pending() > 0
 }
 
 // roundTrip sends one request and reads its response. It tells whether the connection goes on, and whether the request
@@ -316,7 +316,7 @@
 			return false, nil
 		}
 		r.pool.mu.Lock()
-		r.conn, r.in, r.lastAnswered = c, newReader(c, d.now), nil
+		r.conn, r.reader, r.lastAnswered = c, newReader(c, d.now), nil
 		r.pool.connections[r] = struct{}{}
 		r.pool.mu.Unlock()
 	}
@@ -349,15 +349,15 @@
 	}
 	r.conn.SetReadDeadline(time.Now().Add(time.Duration(until - now)))
 	var m message
-	err := r.in.next(&m, true)
+	err := r.reader.next(&m, true)
 	for err == nil && m.status >= 100 && m.status < 200 {
-		err = r.in.next(&m, true)
+		err = r.reader.next(&m, true)
 	}
 	now = d.now()
 	if err == nil {
 		return r.answered(t, rec, &m, now), nil
 	}
-	begun := r.in.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
+	begun := r.reader.pending() > 0 || errors.Is(err, errTruncated) || errors.Is(err, errMalformed) || errors.Is(err, errTooLong)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		left := until == leaves
@@ -422,19 +422,19 @@
 		return false
 	}
 	if t.operation.OneShot {
-		r.keepUnused()
+		r.keepOpenUnused()
 		return false
 	}
 	return true
 }
 
-// keepUnused keeps a connection open for good; its owner does no more with it.
-func (r *clientConn) keepUnused() {
-	parked := &clientConn{pool: r.pool, conn: r.conn, in: r.in, lastAnswered: r.lastAnswered}
+// keepOpenUnused keeps a connection open for good; its owner does no more with it.
+func (r *clientConn) keepOpenUnused() {
+	parked := &clientConn{pool: r.pool, conn: r.conn, reader: r.reader, lastAnswered: r.lastAnswered}
 	r.pool.mu.Lock()
 	delete(r.pool.connections, r)
 	r.pool.connections[parked] = struct{}{}
-	r.conn, r.in, r.lastAnswered = nil, nil, nil
+	r.conn, r.reader, r.lastAnswered = nil, nil, nil
 	r.pool.mu.Unlock()
 }
 
--- a/internal/lab/emulator/emulation.go
+++ b/internal/lab/emulator/emulation.go
@@ -51,7 +51,7 @@
 	lag        *lagMonitor
 	group      errgroup.Group
 	done       chan struct{}
-	endOnce    sync.Once
+	finishOnce sync.Once
 
 	addMu         sync.Mutex // one machine is added at a time, as its index is its place
 	endpointList  []*endpoint
@@ -59,9 +59,9 @@
 	anomalies     map[string]int
 	errs          []error
 	deduplicators map[dedupKey]*sharedDeduplicator
-	waits         map[int]int64
+	slotWaits     map[int]int64
 	loads         []trace.LoadSample
-	network       [2]int
+	networkOctets [2]int
 	discovery     *discovery
 	nodes         []*node
 	clients       *clients
@@ -104,7 +104,7 @@
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), start: o.Start, log: o.Log, logDir: o.LogDir,
 		clockStart: time.Now(),
 		history:    &invariant.History{}, done: make(chan struct{}), anomalies: map[string]int{},
-		deduplicators: map[dedupKey]*sharedDeduplicator{}, waits: map[int]int64{},
+		deduplicators: map[dedupKey]*sharedDeduplicator{}, slotWaits: map[int]int64{},
 	}
 	if d.log == nil {
 		d.log = zap.NewNop()
@@ -112,7 +112,7 @@
 	d.planHash = d.plan.Hash()
 	d.lag = &lagMonitor{now: d.now}
 	n := (os.Getpid()*61 + int(runCount.Add(1))) % (200 * 250)
-	d.network = [2]int{20 + n/250, 1 + n%250}
+	d.networkOctets = [2]int{20 + n/250, 1 + n%250}
 	if d.workDir, err = os.MkdirTemp("", "fawnglade-lab-"); err != nil {
 		return nil, err
 	}
@@ -149,7 +149,7 @@
 
 // address is where a part listens for one node: each node has a network of its own.
 func (d *Emulation) address(node, part int) string {
-	return fmt.Sprintf("127.%d.%d.%d:0", d.network[0], d.network[1], 1+2*node+part)
+	return fmt.Sprintf("127.%d.%d.%d:0", d.networkOctets[0], d.networkOctets[1], 1+2*node+part)
 }
 
 func (d *Emulation) zoneOf(node int) string { return d.scenario.Network.Zones[d.nodes[node].zone] }
@@ -304,7 +304,7 @@
 		n := &node{
 			run: d, index: i, zone: i % len(d.scenario.Network.Zones),
 			config:  filepath.Join(d.workDir, fmt.Sprintf("n%d.json", i)),
-			address: fmt.Sprintf("127.%d.%d.%d:8443", d.network[0], d.network[1], 200+i),
+			address: fmt.Sprintf("127.%d.%d.%d:8443", d.networkOctets[0], d.networkOctets[1], 200+i),
 			usage:   trace.NodeUsage{Node: i},
 		}
 		if zones := d.scenario.Nodes.Zones; len(zones) > 0 {
@@ -433,7 +433,7 @@
 
 // finish ends all that the run began, in whatever state it is.
 func (d *Emulation) finish() {
-	d.endOnce.Do(func() {
+	d.finishOnce.Do(func() {
 		d.history.Close()
 		close(d.done)
 		for _, n := range d.nodes {
--- a/internal/lab/emulator/endpoint.go
+++ b/internal/lab/emulator/endpoint.go
@@ -26,7 +26,7 @@
 
 // endpointFaults are active faults of an endpoint that its model does not have.
 type endpointFaults struct {
-	silent              bool
+	unresponsive        bool
 	fail, reject, reset float64 // shares of attempts
 	corrupt             string
 	corruptShare        float64
@@ -56,8 +56,8 @@
 }
 
 type loadSample struct {
-	at      int64
-	figures model.LoadFigures
+	sampledAt int64
+	figures   model.LoadFigures
 }
 
 // listener is where one node reaches one endpoint.
@@ -244,7 +244,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i := len(m.reports) - 1; i >= 0; i-- {
-		if m.reports[i].at+int64(r.Delay) <= now {
+		if m.reports[i].sampledAt+int64(r.Delay) <= now {
 			return string(encodeLoadReport(nil, r.Fields, m.reports[i].figures.Noisy(m.random.Float64, r.Noise)))
 		}
 	}
@@ -483,7 +483,7 @@
 	t := m.faults
 	turned := h.conn.overLimit || m.draining || m.random.Float64() < t.reject
 	switch {
-	case t.silent:
+	case t.unresponsive:
 		m.mu.Unlock()
 		return
 	case turned:
@@ -506,7 +506,7 @@
 		m.run.history.Update(func() { h.record.Deduplicated = h.deduplicated })
 	}
 	job := &model.Job{
-		ID: h.id, Work: work, Deadline: until, Node: h.conn.listener.node, Wait: m.run.waitOf(category, customer),
+		ID: h.id, Work: work, Deadline: until, Node: h.conn.listener.node, Wait: m.run.slotWait(category, customer),
 	}
 	accepted, fall := m.model.Arrive(m.run.now(), job)
 	if accepted {
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -81,7 +81,7 @@
 		set := func(by int64) {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			d.waits[waitKey(d.scenario, &f.Fault)] = by
+			d.slotWaits[waitKey(d.scenario, &f.Fault)] = by
 		}
 		set(int64(f.Wait))
 		ends(func() { set(0) })
@@ -134,7 +134,7 @@
 		return
 	}
 	if f.For > 0 {
-		d.restartLater(n, time.Duration(f.For))
+		d.restartNodeLater(n, time.Duration(f.For))
 	}
 }
 
@@ -150,7 +150,7 @@
 	for i, target := range f.Nodes {
 		d.nodes[target].kill()
 		if f.NodesBack > 0 {
-			d.restartLater(d.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
+			d.restartNodeLater(d.nodes[target], time.Duration(f.RestoreDelay(f.NodesBack, f.Seed, i)))
 		}
 	}
 	for i, target := range f.Targets {
@@ -160,14 +160,14 @@
 		if f.EndpointsBack > 0 {
 			d.after(
 				time.Duration(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i)),
-				func() { d.revive(m, time.Duration(d.scenario.Discovery.ChangeDelay)) },
+				func() { d.restartEndpoint(m, time.Duration(d.scenario.Discovery.ChangeDelay)) },
 			)
 		}
 	}
 }
 
-// restartLater starts a node again after a time.
-func (d *Emulation) restartLater(n *node, after time.Duration) {
+// restartNodeLater starts a node again after a time.
+func (d *Emulation) restartNodeLater(n *node, after time.Duration) {
 	n.mu.Lock()
 	p := n.handle
 	n.mu.Unlock()
@@ -226,7 +226,7 @@
 		m.mu.Unlock()
 		m.wake()
 	case "silent":
-		d.changeFaults(f, m, func(t *endpointFaults) { t.silent = true }, func(t *endpointFaults) { t.silent = false })
+		d.changeFaults(f, m, func(t *endpointFaults) { t.unresponsive = true }, func(t *endpointFaults) { t.unresponsive = false })
 	case "fail":
 		d.changeFaults(
 			f, m, func(t *endpointFaults) { t.fail = f.AttemptShare }, func(t *endpointFaults) { t.fail = 0 },
@@ -277,10 +277,10 @@
 		if f.How != "unnoticed" {
 			d.setListed(m, model.Removed, notice)
 		}
-		d.reviveLater(f, m, notice)
+		d.restartEndpointLater(f, m, notice)
 	case "restart-servers":
 		m.stop()
-		d.revive(m, notice)
+		d.restartEndpoint(m, notice)
 	case "replace":
 		d.replace(m, notice)
 	case "drain":
@@ -308,14 +308,14 @@
 	}
 }
 
-func (d *Emulation) reviveLater(f *workload.Fault, m *endpoint, notice time.Duration) {
+func (d *Emulation) restartEndpointLater(f *workload.Fault, m *endpoint, notice time.Duration) {
 	if f.For > 0 {
-		d.after(time.Duration(f.For), func() { d.revive(m, notice) })
+		d.after(time.Duration(f.For), func() { d.restartEndpoint(m, notice) })
 	}
 }
 
 // revive starts an endpoint anew, in slow start.
-func (d *Emulation) revive(m *endpoint, notice time.Duration) {
+func (d *Emulation) restartEndpoint(m *endpoint, notice time.Duration) {
 	if err := m.start(true); err != nil {
 		d.recordError(err)
 		return
@@ -352,9 +352,9 @@
 	return len(s.Classes)
 }
 
-// waitOf is for how long an attempt waits in its slot.
-func (d *Emulation) waitOf(category, customer int) int64 {
+// slotWait is for how long an attempt waits in its slot.
+func (d *Emulation) slotWait(category, customer int) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.waits[category], d.waits[-1-customer])
+	return max(d.slotWaits[category], d.slotWaits[-1-customer])
 }
--- a/internal/lab/emulator/links.go
+++ b/internal/lab/emulator/links.go
@@ -58,7 +58,7 @@
 }
 
 func (d *Emulation) nodeAddress(node, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", d.network[0], d.network[1], 200+node, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", d.networkOctets[0], d.networkOctets[1], 200+node, port)
 }
 
 // start puts the schedule in force, by the run's clock.
@@ -74,7 +74,7 @@
 		return target(), nil
 	}
 	s, err := faultproxy.NewStream(
-		b.faults, fmt.Sprintf("127.%d.%d.%d:0", b.run.network[0], b.run.network[1], 1+(from.Index+to.Index)%190), from,
+		b.faults, fmt.Sprintf("127.%d.%d.%d:0", b.run.networkOctets[0], b.run.networkOctets[1], 1+(from.Index+to.Index)%190), from,
 		to, target,
 	)
 	if err != nil {
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -115,7 +115,7 @@
 	expectedEnd *invariant.Process // the life whose end is the day's own doing
 	admitted    bool               // the front sends to it
 	usage       trace.NodeUsage
-	earlierCPU  float64 // of earlier lives
+	previousCPU float64 // of earlier lives
 }
 
 func (n *node) incarnation() int {
@@ -240,7 +240,7 @@
 	if !expected {
 		n.usage.Crashes++
 	}
-	n.earlierCPU = n.usage.CPUSeconds
+	n.previousCPU = n.usage.CPUSeconds
 	n.mu.Unlock()
 	if !expected {
 		n.run.recordAnomaly("a node ended by itself", strconv.Itoa(n.index))
@@ -350,7 +350,7 @@
 	mb := pages * float64(os.Getpagesize()) / (1 << 20)
 	files, _ := os.ReadDir(filepath.Join(dir, "fd"))
 	n.mu.Lock()
-	n.usage.CPUSeconds = n.earlierCPU + (user+system)/100
+	n.usage.CPUSeconds = n.previousCPU + (user+system)/100
 	n.usage.MaxMemoryMB = max(n.usage.MaxMemoryMB, mb)
 	n.usage.MaxDescriptors = max(n.usage.MaxDescriptors, len(files))
 	n.mu.Unlock()
--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -73,8 +73,8 @@
 }
 
 type proxyConn struct {
-	conn net.Conn
-	in   *reader
+	conn   net.Conn
+	reader *reader
 }
 
 // NewReferenceProxy reads a node's configuration. It selects by kind; wrong names its misbehavior, if any.
@@ -486,9 +486,9 @@
 	}
 	c.conn.SetReadDeadline(t.deadline.Add(-5 * time.Millisecond))
 	var m message
-	err := c.in.next(&m, true)
+	err := c.reader.next(&m, true)
 	for err == nil && m.status < 200 {
-		err = c.in.next(&m, true)
+		err = c.reader.next(&m, true)
 	}
 	if err != nil {
 		c.conn.Close()
@@ -501,7 +501,7 @@
 	case string(m.get(headerNotExecuted)) == "1":
 		how = outcomeNeverRan
 	}
-	if m.closesConnection || c.in.pending() > 0 || p.ctx.Err() != nil {
+	if m.closesConnection || c.reader.pending() > 0 || p.ctx.Err() != nil {
 		c.conn.Close()
 		return how, body
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -106,7 +106,7 @@
 		c.finishOrRetry(t, trace.Lost, true, 0)
 		return
 	}
-	front, end := n.frontEnd(), n.linkEnd()
+	front, end := n.clientEnd(), n.linkEnd()
 	blocked, refused := d.cannotConnect(front, end)
 	switch {
 	case refused:
@@ -114,7 +114,7 @@
 		return
 	case blocked && !d.links.Open(d.now, front, end):
 		// The node never sees it, so it is not in the history either.
-		d.at(c.waitsUntil(t), func() { c.finishOrRetry(t, trace.Failed, false, 0) })
+		d.at(c.giveUpTime(t), func() { c.finishOrRetry(t, trace.Failed, false, 0) })
 		return
 	}
 	record := &invariant.Request{
@@ -136,15 +136,15 @@
 	c.awaitResponse(t, n, record)
 }
 
-// waitsUntil is when a client gives up a request.
-func (c *clients) waitsUntil(t *clientRequest) int64 {
+// giveUpTime is when a client gives up a request.
+func (c *clients) giveUpTime(t *clientRequest) int64 {
 	return t.deadline + int64(c.sim.scenario.Rules.AnswerGrace) + lateResponseTime
 }
 
 // awaitResponse ends a request that has no response in time, or whose client leaves before.
 func (c *clients) awaitResponse(t *clientRequest, n *node, record *invariant.Request) {
 	d := c.sim
-	until := c.waitsUntil(t)
+	until := c.giveUpTime(t)
 	leavesAt := int64(invariant.Never)
 	if t.operation.CancelsAfter > 0 {
 		leavesAt = t.operation.Due + t.operation.CancelsAfter
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	maxQueuedCalls  = 256
-	secondCallAfter = int64(3 * time.Second) // a second call is made beside one that waits so long
-	laterCallGap    = int64(4 * time.Second) // and so long later a third and fourth; then ever later
-	refusalTime     = int64(time.Millisecond)
-	maxCallGap      = int64(2 * time.Second) // whatever the decisions wait
+	maxQueuedCalls    = 256
+	secondCallDelay   = int64(3 * time.Second) // a second call is made beside one that waits so long
+	laterCallDelay    = int64(4 * time.Second) // and so long later a third and fourth; then ever later
+	refusalTime       = int64(time.Millisecond)
+	callRetryInterval = int64(2 * time.Second) // whatever the decisions wait
 	// maxCalls for one watch; the last of them are days apart.
 	maxCalls = 16
 )
@@ -196,9 +196,9 @@
 	if w.calls > maxCalls {
 		return
 	}
-	gap := secondCallAfter
+	gap := secondCallDelay
 	if w.calls > 1 {
-		gap = laterCallGap << max(w.calls-3, 0)
+		gap = laterCallDelay << max(w.calls-3, 0)
 	}
 	n := w.node
 	n.sim.after(gap, func() {
@@ -235,7 +235,7 @@
 		n.post(func() { n.decider.WatchFailed(policy.Time(n.clock())) })
 		n.failedCalls++
 		last := n.failedCalls
-		d.after(maxCallGap, func() {
+		d.after(callRetryInterval, func() {
 			// else the decisions have asked sooner, and that failed too
 			if n.alive && n.record == w.process && n.failedCalls == last {
 				n.startWatch()
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -16,7 +16,7 @@
 
 // endpointFaults are active faults of an endpoint that its model does not have.
 type endpointFaults struct {
-	silent              bool
+	unresponsive        bool
 	fail, reject, reset float64 // shares of attempts
 	corrupt             string
 	corruptShare        float64
@@ -47,8 +47,8 @@
 }
 
 type loadSample struct {
-	at      int64
-	figures model.LoadFigures
+	sampledAt int64
+	figures   model.LoadFigures
 }
 
 // connection is one of a node to an endpoint.
@@ -123,7 +123,7 @@
 func (m *endpoint) report() policy.LoadReport {
 	r, out := &m.sim.scenario.Reports, noReport
 	for i := len(m.reports) - 1; i >= 0; i-- {
-		if m.reports[i].at+int64(r.Delay) > m.sim.now {
+		if m.reports[i].sampledAt+int64(r.Delay) > m.sim.now {
 			continue
 		}
 		f := m.reports[i].figures.Noisy(m.random.Float64, r.Noise)
@@ -151,7 +151,7 @@
 	m.model.Crash()
 	m.jobs = map[int64]*attempt{}
 	for _, n := range m.sim.nodes { // in order
-		n.endpointGone(m, false)
+		n.connectionsReset(m, false)
 	}
 }
 
@@ -164,7 +164,7 @@
 	return m.up && m.incarnation == k.incarnation && m.epochFor(k.node) == k.epoch
 }
 func (m *endpoint) isFull() bool      { return m.connections >= m.fleet.Connections }
-func (m *endpoint) workRate() float64 { return m.model.Capacity() }
+func (m *endpoint) capacity() float64 { return m.model.Capacity() }
 func (m *endpoint) delayTo(node *node) int64 {
 	n := &m.sim.scenario.Network
 	base := n.SameZone
@@ -196,7 +196,7 @@
 	}
 	for _, n := range m.sim.nodes {
 		if node == allNodes || n.index == node {
-			n.endpointGone(m, true)
+			n.connectionsReset(m, true)
 		}
 	}
 }
@@ -261,7 +261,7 @@
 	if m.incarnation != h.incarnation || !m.up || h.ended && m.model.Cancel == model.CancelsRunning {
 		return
 	}
-	if m.faults.silent || h.answeredByFault() {
+	if m.faults.unresponsive || h.answeredByFault() {
 		return
 	}
 	d := m.sim
@@ -274,7 +274,7 @@
 	h.id = m.lastID
 	job := &model.Job{
 		ID: h.id, Work: work, Deadline: min(h.deadline, model.Never), Node: h.pending.node.index,
-		Wait: d.waitOf(h.pending.request.operation),
+		Wait: d.slotWait(h.pending.request.operation),
 	}
 	accepted, crash := m.model.Arrive(d.now, job)
 	switch {
--- a/internal/lab/simulation/events.go
+++ b/internal/lab/simulation/events.go
@@ -13,7 +13,7 @@
 	handled uint64
 }
 
-func (c *eventQueue) before(i, j int) bool {
+func (c *eventQueue) less(i, j int) bool {
 	a, b := &c.events[i], &c.events[j]
 	return a.at < b.at || a.at == b.at && a.seq < b.seq
 }
@@ -25,7 +25,7 @@
 	c.events = append(c.events, event{max(when, c.now), c.seq, do})
 	for i := len(c.events) - 1; i > 0; {
 		up := (i - 1) / 2
-		if !c.before(i, up) {
+		if !c.less(i, up) {
 			break
 		}
 		c.events[i], c.events[up] = c.events[up], c.events[i]
@@ -48,7 +48,7 @@
 	for i := 0; ; {
 		least := i
 		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
-			if c.before(child, least) {
+			if c.less(child, least) {
 				least = child
 			}
 		}
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -44,8 +44,8 @@
 		d.afterFault(f, func() { s.changeDelay = 0 })
 	case "wait":
 		key := d.waitKey(f)
-		d.waits[key] = int64(f.Wait)
-		d.afterFault(f, func() { delete(d.waits, key) })
+		d.slotWaits[key] = int64(f.Wait)
+		d.afterFault(f, func() { delete(d.slotWaits, key) })
 	case "bad-clients":
 	case "kill", "stop", "freeze", "cut-node", "clock":
 		for i, target := range f.Targets {
@@ -73,12 +73,12 @@
 	return len(d.scenario.Classes)
 }
 
-// waitOf is for how long attempts of an operation wait in their slots by a fault.
-func (d *Simulation) waitOf(t *workload.Operation) int64 {
-	if len(d.waits) == 0 {
+// slotWait is for how long attempts of an operation wait in their slots by a fault.
+func (d *Simulation) slotWait(t *workload.Operation) int64 {
+	if len(d.slotWaits) == 0 {
 		return 0
 	}
-	return max(d.waits[t.Class], d.waits[-1-t.Tenant])
+	return max(d.slotWaits[t.Class], d.slotWaits[-1-t.Tenant])
 }
 
 func (d *Simulation) faultNode(f *workload.Fault, n *node) {
@@ -189,7 +189,7 @@
 		m.die()
 		d.discovery.set(m, model.Removed, notice)
 		if f.EndpointsBack > 0 {
-			d.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { d.revive(m, notice) })
+			d.after(f.RestoreDelay(f.EndpointsBack, f.Seed+1, i), func() { d.restartEndpoint(m, notice) })
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	}
 	switch f.Kind {
 	case "silent":
-		change(func(e *endpointFaults) { e.silent = true }, func(e *endpointFaults) { e.silent = false })
+		change(func(e *endpointFaults) { e.unresponsive = true }, func(e *endpointFaults) { e.unresponsive = false })
 	case "fail":
 		change(func(e *endpointFaults) { e.fail = f.AttemptShare }, func(e *endpointFaults) { e.fail = 0 })
 	case "turn-away":
@@ -275,9 +275,9 @@
 		if f.How != "unnoticed" {
 			d.discovery.set(m, model.Removed, notice)
 		}
-		d.afterFault(f, func() { d.revive(m, notice) })
+		d.afterFault(f, func() { d.restartEndpoint(m, notice) })
 	case "restart-servers":
-		d.revive(m, notice)
+		d.restartEndpoint(m, notice)
 	case "replace":
 		d.discovery.set(m, model.Removed, notice)
 		spec := m.spec
@@ -309,7 +309,7 @@
 }
 
 // revive starts an endpoint anew, in slow start.
-func (d *Simulation) revive(m *endpoint, notice int64) {
+func (d *Simulation) restartEndpoint(m *endpoint, notice int64) {
 	if m.up {
 		return
 	}
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -21,7 +21,7 @@
 
 var discoveryEnd = netfault.End{Kind: netfault.Discovery}
 
-func (n *node) frontEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
+func (n *node) clientEnd() netfault.End { return netfault.End{Kind: netfault.Client, Index: n.zone} }
 
 // fateOf is the fate of the next message on a link.
 func (d *Simulation) fateOf(from, to netfault.End, size int) netfault.Fate {
@@ -100,7 +100,7 @@
 	case netfault.Endpoint:
 		m := d.endpoints[to.Index]
 		m.epochs[n.index]++
-		n.endpointGone(m, true)
+		n.connectionsReset(m, true)
 	case netfault.Discovery:
 		if n.watch != nil && n.watch.blocked {
 			n.watch.fail()
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -39,27 +39,27 @@
 	decider     Decider
 	usage       trace.NodeUsage
 
-	record       *invariant.Process
-	alive        bool
-	admitted     bool // the front sends to it
-	hasList      bool // it has an endpoint list
-	running      bool // its process answers the front
-	stopping     bool
-	pausedUntil  int64 // paused until then
-	busyUntil    int64 // its processor works until then
-	eventCost    int64
-	requests     map[policy.RequestID]*pendingRequest
-	pendingOrder []*pendingRequest // in order of arrival
-	idle         map[*endpoint][]*connection
-	inbox        gossip.Inbox
-	timerSecond  int64 // the second that timersAtOnce counts in
-	timersAtOnce int
-	watch        *watch
-	version      int64
-	failedCalls  int   // of calls for the list
-	callBackoff  int64 // until it calls for the list by itself
-	membership   *members.Members
-	listGossip   *listGossip
+	record          *invariant.Process
+	alive           bool
+	admitted        bool // the front sends to it
+	hasList         bool // it has an endpoint list
+	running         bool // its process answers the front
+	stopping        bool
+	pausedUntil     int64 // paused until then
+	busyUntil       int64 // its processor works until then
+	eventCost       int64
+	requests        map[policy.RequestID]*pendingRequest
+	pendingOrder    []*pendingRequest // in order of arrival
+	idle            map[*endpoint][]*connection
+	inbox           gossip.Inbox
+	timerSecond     int64 // the second that immediateTimers counts in
+	immediateTimers int
+	watch           *watch
+	version         int64
+	failedCalls     int   // of calls for the list
+	callBackoff     int64 // until it calls for the list by itself
+	membership      *members.Members
+	listGossip      *listGossip
 }
 
 // end is the node's end of links.
@@ -279,8 +279,8 @@
 	x.answered = true
 	n.release(x)
 	life := n.record
-	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.frontEnd()), func() {
-		if n.alive && n.record == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.frontEnd()) {
+	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
+		if n.alive && n.record == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
 			return // the client receives nothing
 		}
 		if n.alive && n.record == life {
@@ -379,8 +379,8 @@
 	return k
 }
 
-// endpointGone ends what is open to an endpoint: its process has ended, or it was cut off and is back.
-func (n *node) endpointGone(m *endpoint, healed bool) {
+// connectionsReset ends what is open to an endpoint: its process has ended, or it was cut off and is back.
+func (n *node) connectionsReset(m *endpoint, healed bool) {
 	if n.requests == nil {
 		return
 	}
@@ -500,12 +500,12 @@
 	d := n.sim
 	when := n.virtualTime(int64(at))
 	if second := d.now / 1e9; n.timerSecond != second {
-		n.timerSecond, n.timersAtOnce = second, 0
+		n.timerSecond, n.immediateTimers = second, 0
 	}
 	if when = max(when, d.now); when == d.now {
-		n.timersAtOnce++
+		n.immediateTimers++
 	}
-	if n.timersAtOnce > maxTimersAtOnce {
+	if n.immediateTimers > maxImmediateTimers {
 		if d.err == nil {
 			d.err = fmt.Errorf(
 				"node %d asks at %.3f s of the day to be woken at once, over and over", n.index, float64(d.now)/1e9,
@@ -536,7 +536,7 @@
 func (n *node) CheckHealth(id policy.EndpointID) {
 	m, d := n.sim.byID[id], n.sim
 	d.count(func(t *trace.FleetActivity) { t.HealthChecks++ })
-	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.silent || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) ||
+	if m == nil || !m.up || m.isCutFrom(n.index) || m.faults.unresponsive || !d.links.Open(d.now, n.linkEnd(), m.linkEnd()) ||
 		!d.links.Open(d.now, m.linkEnd(), n.linkEnd()) {
 		d.after(int64(n.settings.ConnectTimeout), func() {
 			n.post(func() {
--- a/internal/lab/simulation/simulation.go
+++ b/internal/lab/simulation/simulation.go
@@ -60,16 +60,16 @@
 const (
 	epochNs = int64(1_700_000_000_000_000_000)
 	// from a request's last byte to the decisions, as measured on sockets
-	receiveDelay      = int64(180 * time.Microsecond)
-	sendDelay         = int64(180 * time.Microsecond)
-	eventCost         = int64(12 * time.Microsecond) // of a node's processor, for each event
-	startDelay        = int64(60 * time.Millisecond) // of a node's process, until the front sends to it
-	settleTime        = int64(2 * time.Second)
-	quietTime         = int64(200 * time.Millisecond) // after the last operation
-	sampleInterval    = int64(250 * time.Millisecond)
-	maxTimersAtOnce   = 20_000 // timers that are due at once, in a second, that a node may set
-	defaultMaxEvents  = uint64(500_000_000)
-	checkContextEvery = 1 << 16
+	receiveDelay       = int64(180 * time.Microsecond)
+	sendDelay          = int64(180 * time.Microsecond)
+	eventCost          = int64(12 * time.Microsecond) // of a node's processor, for each event
+	startDelay         = int64(60 * time.Millisecond) // of a node's process, until the front sends to it
+	settleTime         = int64(2 * time.Second)
+	quietTime          = int64(200 * time.Millisecond) // after the last operation
+	sampleInterval     = int64(250 * time.Millisecond)
+	maxImmediateTimers = 20_000 // timers that are due at once, in a second, that a node may set
+	defaultMaxEvents   = uint64(500_000_000)
+	checkContextEvery  = 1 << 16
 )
 
 func epoch(at int64) int64 { return epochNs + at }
@@ -84,28 +84,28 @@
 // Simulation is one run.
 type Simulation struct {
 	eventQueue
-	scenario      *scenario.Scenario
-	plan          *workload.Plan
-	newDecider    NewDecider
-	history       *invariant.History
-	random        *rand.Rand
-	idPrefix      string
-	endpoints     []*endpoint
-	byID          map[policy.EndpointID]*endpoint
-	nodes         []*node
-	discovery     *discovery
-	clients       *clients
-	deduplicators map[dedupKey]*model.Deduplicator
-	waits         map[int]int64
-	anomalies     map[string]int
-	givenUp       map[string]int // by reason
-	loads         []trace.LoadSample
-	activity      []trace.FleetActivity
-	links         *netfault.Schedule
-	messageCounts map[[2]netfault.End]uint64 // messages on each link
-	views         []trace.MembershipView
-	running       []trace.RunningNodes
-	err           error
+	scenario        *scenario.Scenario
+	plan            *workload.Plan
+	newDecider      NewDecider
+	history         *invariant.History
+	random          *rand.Rand
+	requestIDPrefix string
+	endpoints       []*endpoint
+	byID            map[policy.EndpointID]*endpoint
+	nodes           []*node
+	discovery       *discovery
+	clients         *clients
+	deduplicators   map[dedupKey]*model.Deduplicator
+	slotWaits       map[int]int64
+	anomalies       map[string]int
+	givenUp         map[string]int // by reason
+	loads           []trace.LoadSample
+	activity        []trace.FleetActivity
+	links           *netfault.Schedule
+	messageCounts   map[[2]netfault.End]uint64 // messages on each link
+	views           []trace.MembershipView
+	running         []trace.RunningNodes
+	err             error
 }
 
 // Run runs a scenario to its end. An error means that it could not be run; what went wrong within it is in the trace.
@@ -133,10 +133,10 @@
 		scenario: o.Scenario, plan: workload.Draw(o.Scenario, o.Seed), newDecider: o.NewDecider,
 		history: &invariant.History{}, random: rand.New(rand.NewPCG(o.Seed, 11)),
 		byID: map[policy.EndpointID]*endpoint{}, deduplicators: map[dedupKey]*model.Deduplicator{},
-		waits: map[int]int64{}, anomalies: map[string]int{}, givenUp: map[string]int{}, messageCounts: map[[2]netfault.End]uint64{},
+		slotWaits: map[int]int64{}, anomalies: map[string]int{}, givenUp: map[string]int{}, messageCounts: map[[2]netfault.End]uint64{},
 	}
 	d.links = d.plan.LinkFaults(d.scenario)
-	d.idPrefix = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
+	d.requestIDPrefix = fmt.Sprintf("%08x", uint32(d.plan.Seed*2654435761))
 	d.activity = make([]trace.FleetActivity, int(int64(o.Scenario.Length)/1e9)+1)
 	return d
 }
@@ -248,7 +248,7 @@
 
 // requestID has the same form as on sockets.
 func (d *Simulation) requestID(operation, request int) string {
-	b := append(make([]byte, 0, 16), d.idPrefix...)
+	b := append(make([]byte, 0, 16), d.requestIDPrefix...)
 	for _, part := range [][2]int{{operation, 6}, {request, 2}} {
 		text := strconv.FormatInt(int64(part[0]), 16)
 		for range part[1] - len(text) {
@@ -272,11 +272,11 @@
 // Load implements ClusterState.
 func (d *Simulation) Load(node int, id policy.EndpointID) (inFlight int, capacity float64, up bool) {
 	m := d.byID[id]
-	if m == nil || !m.up || m.isCutFrom(node) || m.faults.silent || m.draining || m.faults.fail > 0.5 ||
+	if m == nil || !m.up || m.isCutFrom(node) || m.faults.unresponsive || m.draining || m.faults.fail > 0.5 ||
 		m.faults.reject > 0.5 || m.faults.reset > 0.5 {
 		return 0, 0, false
 	}
-	return m.model.InFlight(), m.workRate() * 1e9, true
+	return m.model.InFlight(), m.capacity() * 1e9, true
 }
 
 // RoundTrip implements ClusterState.
