--- a/policy/admission.go
+++ b/policy/admission.go
@@ -75,8 +75,8 @@
 func (b *Balancer) classDelay(now Time, req *request) float64 {
 	delay := req.delayGroups.Delay(int64(now))
 	if delay > 0 {
-		timeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
-		if req.delayGroups.AllowsTrial(int64(now), timeFraction) {
+		trialTimeFraction := min(1, float64(len(b.endpoints.all))/float64(max(b.settings.NodeCount, 1)))
+		if req.delayGroups.AllowsTrial(int64(now), trialTimeFraction) {
 			return 0
 		}
 	}
--- a/policy/estimator.go
+++ b/policy/estimator.go
@@ -110,11 +110,11 @@
 // fewSamplesFactor extends the time until an attempt is overdue while fewer than minSamplesForOverdue responses of any
 // class have arrived.
 func (e *estimator) fewSamplesFactor() float64 {
-	answers := 0
+	responses := 0
 	for i := range e.classes {
-		answers += e.classes[i].WorkSamples
+		responses += e.classes[i].WorkSamples
 	}
-	return max(1, minSamplesForOverdue/float64(max(answers, 1)))
+	return max(1, minSamplesForOverdue/float64(max(responses, 1)))
 }
 
 // usualHighLatency returns the mean of the endpoints' high quantiles of the latency per unit of work.
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -53,9 +53,9 @@
 	// gossipDecayPerSecond is the fraction of the votes that remains after one second.
 	gossipDecayPerSecond = 0.5
 
-	// maxRejectionBackoff is the first backoff of an endpoint without recent responses. It is shorter for an endpoint
+	// maxInitialBackoff is the first backoff of an endpoint without recent responses. It is shorter for an endpoint
 	// with more recent responses.
-	maxRejectionBackoff = time.Second
+	maxInitialBackoff = time.Second
 	// maxRejectionsInARow limits how often the backoff doubles.
 	maxRejectionsInARow = 6
 )
@@ -194,8 +194,8 @@
 // rejects quickly would use up all attempts.
 func (ep *endpoint) backOff(now Time, meanWork time.Duration) {
 	ep.rejectionsInARow = min(ep.rejectionsInARow+1, maxRejectionsInARow)
-	shortest := time.Duration(float64(maxRejectionBackoff) / (2*ep.Latency.Weight + 1))
-	ep.backoffUntil = now.Add(max(meanWork, shortest) << (ep.rejectionsInARow - 1))
+	minInitialBackoff := time.Duration(float64(maxInitialBackoff) / (2*ep.Latency.Weight + 1))
+	ep.backoffUntil = now.Add(max(meanWork, minInitialBackoff) << (ep.rejectionsInARow - 1))
 }
 
 // gossipFailure sends the other nodes a message that an endpoint fails a class.
