--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -24,17 +24,17 @@
 type discovery struct {
 	run *Emulation
 
-	mu          sync.Mutex
-	list        *model.EndpointList
-	everListed  map[int]bool // servers listed at any time
-	initial     [][]byte     // the list of the day's beginning, by node
-	down        bool
-	outage      *invariant.Outage
-	slowdown    float64
-	changeDelay time.Duration        // a change of the list shows so much later
-	endpoints   []*discoveryListener // by node
-	calls       chan *call
-	watches     map[*call]struct{}
+	mu               sync.Mutex
+	list             *model.EndpointList
+	everListed       map[int]bool // servers listed at any time
+	initial          [][]byte     // the list of the day's beginning, by node
+	down             bool
+	outage           *invariant.Outage
+	slowdown         float64
+	extraChangeDelay time.Duration        // a change of the list shows so much later
+	listeners        []*discoveryListener // by node
+	calls            chan *call
+	watches          map[*call]struct{}
 }
 
 // discoveryListener is where one node reaches discovery.
@@ -50,7 +50,7 @@
 	node, incarnation int
 	conn              net.Conn
 	watch             bool
-	after             int64
+	afterVersion      int64
 	arrivedAt         time.Time
 	callerClosed      chan struct{} // closed when the caller has left
 	answered          chan struct{}
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.endpoints = append(s.endpoints, p)
+		s.listeners = append(s.listeners, p)
 	}
 	d.group.Go(func() error { s.handleCalls(); return nil })
 	return s, nil
@@ -93,7 +93,7 @@
 func (s *discovery) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, p := range s.endpoints {
+	for _, p := range s.listeners {
 		p.close()
 	}
 }
@@ -161,7 +161,7 @@
 			continue
 		}
 		k := &call{
-			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
+			node: p.node, incarnation: s.run.nodes[p.node].incarnation(), conn: c, watch: watch, afterVersion: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
@@ -199,8 +199,8 @@
 		d := &s.run.scenario.Discovery
 		s.mu.Lock()
 		down, lines := s.down, len(s.list.Complete())
-		if k.after > 0 {
-			changed, _ := s.list.ChangesAfter(k.after)
+		if k.afterVersion > 0 {
+			changed, _ := s.list.ChangesAfter(k.afterVersion)
 			lines = len(changed)
 		}
 		cost := time.Duration(s.slowdown * float64(int64(d.CallTime)+int64(d.EntryTime)*int64(lines)))
@@ -295,7 +295,7 @@
 func (s *discovery) keepInitial() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for node := range s.endpoints {
+	for node := range s.listeners {
 		text, _ := s.encode(node, 0, s.list.Version(), s.list.Complete(), true)
 		s.initial = append(s.initial, text)
 	}
@@ -337,7 +337,7 @@
 		_, err := fmt.Fprintf(k.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
-	version, quiet := k.after, time.Now()
+	version, quiet := k.afterVersion, time.Now()
 	for first := true; ; first = false {
 		s.mu.Lock()
 		entries, whole := s.list.ChangesAfter(version)
@@ -373,7 +373,7 @@
 // set changes the list after a delay.
 func (s *discovery) set(l model.ListEntry, notice time.Duration) {
 	s.mu.Lock()
-	notice += s.changeDelay
+	notice += s.extraChangeDelay
 	s.mu.Unlock()
 	do := func() {
 		s.mu.Lock()
@@ -403,7 +403,7 @@
 		s.run.history.Update(func() { s.outage.To = now })
 	}
 	if s.down = down; down {
-		for _, p := range s.endpoints {
+		for _, p := range s.listeners {
 			for c := range p.conns {
 				reset(c)
 			}
@@ -413,14 +413,14 @@
 
 // move opens new addresses; the old ones accept no connection and close the open ones a while later.
 func (s *discovery) move() error {
-	for node := range s.endpoints {
+	for node := range s.listeners {
 		p, err := s.openAt(node, s.run.address(node, 1))
 		if err != nil {
 			return err
 		}
 		s.mu.Lock()
-		old := s.endpoints[node]
-		s.endpoints[node] = p
+		old := s.listeners[node]
+		s.listeners[node] = p
 		old.listener.Close()
 		old.listener = nil
 		s.mu.Unlock()
@@ -436,5 +436,5 @@
 func (s *discovery) addressFor(node int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints[node].advertised
+	return s.listeners[node].advertised
 }
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -72,7 +72,7 @@
 		set := func(wait time.Duration) {
 			d.discovery.mu.Lock()
 			defer d.discovery.mu.Unlock()
-			d.discovery.changeDelay = wait
+			d.discovery.extraChangeDelay = wait
 		}
 		set(time.Duration(f.Wait))
 		ends(func() { set(0) })
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -108,23 +108,23 @@
 	config  string
 	log     *os.File
 
-	mu          sync.Mutex
-	handle      Process
-	record      *invariant.Process
-	stateLost   bool               // its directory was tampered with since it ended
-	expectedEnd *invariant.Process // the life whose end is the day's own doing
-	admitted    bool               // the front sends to it
-	usage       trace.NodeUsage
-	previousCPU float64 // of earlier lives
+	mu            sync.Mutex
+	handle        Process
+	processRecord *invariant.Process
+	stateLost     bool               // its directory was tampered with since it ended
+	expectedEnd   *invariant.Process // the life whose end is the day's own doing
+	admitted      bool               // the front sends to it
+	usage         trace.NodeUsage
+	previousCPU   float64 // of earlier lives
 }
 
 func (n *node) incarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.record == nil {
+	if n.processRecord == nil {
 		return 0
 	}
-	return n.record.Incarnation
+	return n.processRecord.Incarnation
 }
 
 func (n *node) writeConfig(known []byte, seed uint64) error {
@@ -141,8 +141,8 @@
 func (n *node) start() error {
 	n.mu.Lock()
 	number := 1
-	if n.record != nil {
-		number = n.record.Incarnation + 1
+	if n.processRecord != nil {
+		number = n.processRecord.Incarnation + 1
 	}
 	n.mu.Unlock()
 	seed := n.run.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(number)
@@ -181,7 +181,7 @@
 	n.stateLost = false
 	n.run.history.RecordProcess(life)
 	n.mu.Lock()
-	n.handle, n.record = p, life
+	n.handle, n.processRecord = p, life
 	n.usage.Starts++
 	n.mu.Unlock()
 	n.run.group.Go(func() error { n.watch(p, life); return nil })
@@ -259,7 +259,7 @@
 
 func (n *node) end(s os.Signal, excused bool) {
 	n.mu.Lock()
-	p, life := n.handle, n.record
+	p, life := n.handle, n.processRecord
 	n.expectedEnd = life
 	n.mu.Unlock()
 	if p == nil {
@@ -291,7 +291,7 @@
 // pause stops a node's process for a time.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
-	p, life := n.handle, n.record
+	p, life := n.handle, n.processRecord
 	n.mu.Unlock()
 	if p == nil || p.Signal(syscall.SIGSTOP) != nil {
 		return
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -15,7 +15,7 @@
 )
 
 // Site returns what the ends of links are called.
-func (s *Scenario) Site() *netfault.Topology {
+func (s *Scenario) Topology() *netfault.Topology {
 	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
 		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
@@ -33,7 +33,7 @@
 	if FaultTargets[f.Kind] != LinkTarget {
 		return netfault.Fault{}, false
 	}
-	site := s.Site()
+	site := s.Topology()
 	from, errFrom := site.Ends(f.From)
 	to, errTo := site.Ends(f.To)
 	end := int64(f.At + f.For)
@@ -98,7 +98,7 @@
 		c.require(false, key, "one end of the way at least", "none")
 		return
 	}
-	if _, err := c.scenario.Site().Ends(names); err != nil {
+	if _, err := c.scenario.Topology().Ends(names); err != nil {
 		want, got, _ := strings.Cut(err.Error(), ", got ")
 		c.require(false, key, want, got)
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -118,15 +118,15 @@
 		return
 	}
 	record := &invariant.Request{
-		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.record.Incarnation,
+		ID: t.id, Operation: t.operation.Index, Node: n.index, Incarnation: n.processRecord.Incarnation,
 		Class: t.operation.Class, SentAt: d.now, Deadline: t.deadline,
 	}
 	d.history.RecordRequest(record)
 	if delay := d.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
-		t.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: record}
+		t.pending = &pendingRequest{node: n, incarnation: n.processRecord.Incarnation, request: t, record: record}
 		d.after(delay, func() {
-			if n.alive && n.record.Incarnation == record.Incarnation && !t.finished {
+			if n.alive && n.processRecord.Incarnation == record.Incarnation && !t.finished {
 				n.receive(t, record)
 			}
 		})
@@ -163,7 +163,7 @@
 		} else {
 			c.finishOrRetry(t, trace.Failed, false, 0)
 		}
-		if n.alive && t.pending.incarnation == n.record.Incarnation {
+		if n.alive && t.pending.incarnation == n.processRecord.Incarnation {
 			n.clientGone(t.pending)
 		}
 	})
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -20,32 +20,32 @@
 )
 
 type discovery struct {
-	sim         *Simulation
-	list        *model.EndpointList
-	everListed  []int // endpoints listed at any time, in order of their first listing
-	wasListed   map[int]bool
-	initial     []model.ListEntry
-	down        bool
-	outage      *invariant.Outage
-	slowdown    float64
-	changeDelay int64
-	busyUntil   int64 // with calls in turn
-	queuedCalls int
-	watches     []*watch
+	sim              *Simulation
+	list             *model.EndpointList
+	everListed       []int // endpoints listed at any time, in order of their first listing
+	wasListed        map[int]bool
+	initial          []model.ListEntry
+	down             bool
+	outage           *invariant.Outage
+	slowdown         float64
+	extraChangeDelay int64
+	busyUntil        int64 // with calls in turn
+	queuedCalls      int
+	watches          []*watch
 }
 
 // watch is one node's watch of the list, from its first call.
 type watch struct {
-	node       *node
-	process    *invariant.Process
-	record     *invariant.Watch
-	version    int64
-	startedAt  int64
-	scheduled  bool // a delivery is scheduled
-	closed     bool
-	calls      int  // made for it
-	unanswered int  // of those
-	blocked    bool // an update could not pass a cut link
+	node          *node
+	processRecord *invariant.Process
+	record        *invariant.Watch
+	version       int64
+	startedAt     int64
+	scheduled     bool // a delivery is scheduled
+	closed        bool
+	calls         int  // made for it
+	unanswered    int  // of those
+	blocked       bool // an update could not pass a cut link
 }
 
 func newDiscovery(d *Simulation) *discovery {
@@ -68,7 +68,7 @@
 			w.schedule()
 		}
 	}
-	if notice += s.changeDelay; notice <= 0 {
+	if notice += s.extraChangeDelay; notice <= 0 {
 		do()
 		return
 	}
@@ -102,7 +102,7 @@
 	listed := map[int]bool{}
 	for _, l := range list {
 		told = append(told, invariant.ListEntry{
-			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
+			Node: n.index, Incarnation: n.processRecord.Incarnation, Endpoint: l.Endpoint, State: l.State,
 			StartedAt: l.StartedAt, At: s.sim.now,
 		})
 		listed[l.Endpoint] = true
@@ -111,7 +111,7 @@
 		for _, endpoint := range s.everListed {
 			if !listed[endpoint] {
 				told = append(told, invariant.ListEntry{
-					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
+					Node: n.index, Incarnation: n.processRecord.Incarnation, Endpoint: endpoint, State: model.Removed,
 					At: s.sim.now,
 				})
 			}
@@ -123,7 +123,7 @@
 // startWatch begins a watch; a node has one at a time.
 func (n *node) startWatch() {
 	if n.watch == nil {
-		n.watch = &watch{node: n, process: n.record, version: n.version}
+		n.watch = &watch{node: n, processRecord: n.processRecord, version: n.version}
 		n.watch.call()
 	}
 }
@@ -169,7 +169,7 @@
 	s.busyUntil = begin + cost
 	d.at(s.busyUntil+d.linkDelay(end, discoveryEnd)+d.linkDelay(discoveryEnd, end), func() {
 		s.queuedCalls--
-		if w.closed || w.record != nil || n.record != w.process || !n.alive {
+		if w.closed || w.record != nil || n.processRecord != w.processRecord || !n.alive {
 			return
 		}
 		if s.down || begin-came+cost > timeout || cost == 0 && begin > came {
@@ -202,7 +202,7 @@
 	}
 	n := w.node
 	n.sim.after(gap, func() {
-		if w.record == nil && !w.closed && n.record == w.process && n.alive {
+		if w.record == nil && !w.closed && n.processRecord == w.processRecord && n.alive {
 			w.call()
 		}
 	})
@@ -224,11 +224,11 @@
 	d := n.sim
 	if w.record == nil {
 		d.history.RecordWatch(&invariant.Watch{
-			Node: n.index, Incarnation: w.process.Incarnation, From: d.now, To: d.now, Failed: true,
+			Node: n.index, Incarnation: w.processRecord.Incarnation, From: d.now, To: d.now, Failed: true,
 		})
 	}
 	w.close()
-	if n.record != w.process || !n.alive {
+	if n.processRecord != w.processRecord || !n.alive {
 		return
 	}
 	if n.settings.Policy.MustPollList {
@@ -237,7 +237,7 @@
 		last := n.failedCalls
 		d.after(callRetryInterval, func() {
 			// else the decisions have asked sooner, and that failed too
-			if n.alive && n.record == w.process && n.failedCalls == last {
+			if n.alive && n.processRecord == w.processRecord && n.failedCalls == last {
 				n.startWatch()
 			}
 		})
@@ -247,7 +247,7 @@
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
 	d.after(wait, func() {
-		if n.alive && n.record == w.process {
+		if n.alive && n.processRecord == w.processRecord {
 			n.startWatch()
 		}
 	})
@@ -274,7 +274,7 @@
 func (w *watch) open() {
 	d := w.node.sim
 	w.record = &invariant.Watch{
-		Node: w.node.index, Incarnation: w.process.Incarnation, From: d.now, To: invariant.Never,
+		Node: w.node.index, Incarnation: w.processRecord.Incarnation, From: d.now, To: invariant.Never,
 	}
 	d.history.RecordWatch(w.record)
 	w.startedAt = d.now
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -245,7 +245,7 @@
 	incarnation   int
 	sentAt        int64
 	deadline      int64
-	conn          *connection
+	connection    *connection
 	newConnection bool
 	record        *invariant.Attempt // nil until its first byte is written
 	id            int64
@@ -266,8 +266,8 @@
 	}
 	d := m.sim
 	work := h.drawWork()
-	if h.conn.isNew {
-		h.conn.isNew = false
+	if h.connection.isNew {
+		h.connection.isNew = false
 		m.model.ConnectionOpened(d.now)
 	}
 	m.lastID++
@@ -294,7 +294,7 @@
 	f := &m.faults
 	strikes := func(share float64) bool { return share > 0 && m.random.Float64() < share }
 	switch {
-	case h.conn.overLimit || m.draining || strikes(f.reject):
+	case h.connection.overLimit || m.draining || strikes(f.reject):
 		h.reject()
 	case strikes(f.reset):
 		h.reset(policy.OutcomeReset)
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -40,8 +40,8 @@
 	case "discovery-move":
 		s.move()
 	case "lists-late":
-		s.changeDelay = int64(f.Wait)
-		d.afterFault(f, func() { s.changeDelay = 0 })
+		s.extraChangeDelay = int64(f.Wait)
+		d.afterFault(f, func() { s.extraChangeDelay = 0 })
 	case "wait":
 		key := d.waitKey(f)
 		d.slotWaits[key] = int64(f.Wait)
@@ -92,14 +92,14 @@
 	}
 	switch f.Kind {
 	case "kill":
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.processRecord, invariant.Interval{From: d.now, To: invariant.Never})
 		n.kill()
 		d.restartAfterFault(f, n)
 	case "stop":
 		d.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = d.now + int64(f.For)
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: n.pausedUntil + catchUpTime})
+		d.history.Excuse(n.processRecord, invariant.Interval{From: d.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
 		for _, m := range d.endpoints {
 			if f.Zone == "" || m.spec.Zone == f.Zone {
@@ -124,9 +124,9 @@
 
 // restarter starts a node again unless that has happened.
 func (d *Simulation) restartFunc(n *node) func() {
-	process := n.record
+	process := n.processRecord
 	return func() {
-		if n.record == process && !n.alive {
+		if n.processRecord == process && !n.alive {
 			n.start()
 			d.after(startDelay, n.becomeReady)
 		}
@@ -135,19 +135,19 @@
 
 // stopNode has a node shut down gracefully: it accepts for a while, and ends once all requests have their responses.
 func (d *Simulation) stopNode(f *workload.Fault, n *node) {
-	process := n.record
+	process := n.processRecord
 	n.stopping = true
 	if n.membership != nil {
 		n.membership.Leave()
 	}
 	d.after(frontStopDelay, func() {
-		if n.record == process {
+		if n.processRecord == process {
 			n.admitted = false
 		}
 	})
 	var endWhenIdle func()
 	endWhenIdle = func() {
-		if n.record != process || !n.alive {
+		if n.processRecord != process || !n.alive {
 			return
 		}
 		if slices.ContainsFunc(n.pendingOrder, func(x *pendingRequest) bool { return !x.answered }) {
@@ -155,7 +155,7 @@
 			return
 		}
 		d.after(sendDelay, func() {
-			if n.record == process {
+			if n.processRecord == process {
 				n.kill()
 				d.restartAfterFault(f, n)
 			}
@@ -178,7 +178,7 @@
 		if !n.alive {
 			continue
 		}
-		d.history.Excuse(n.record, invariant.Interval{From: d.now, To: invariant.Never})
+		d.history.Excuse(n.processRecord, invariant.Interval{From: d.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
 			d.after(f.RestoreDelay(f.NodesBack, f.Seed, i), d.restartFunc(n))
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -39,7 +39,7 @@
 	decider     Decider
 	usage       trace.NodeUsage
 
-	record          *invariant.Process
+	processRecord   *invariant.Process
 	alive           bool
 	admitted        bool // the front sends to it
 	hasList         bool // it has an endpoint list
@@ -121,12 +121,12 @@
 // start begins a process.
 func (n *node) start() {
 	number := 1
-	if n.record != nil {
-		number = n.record.Incarnation + 1
+	if n.processRecord != nil {
+		number = n.processRecord.Incarnation + 1
 	}
 	d := n.sim
-	n.record = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
-	d.history.RecordProcess(n.record)
+	n.processRecord = &invariant.Process{Node: n.index, Incarnation: number, StartedAt: d.now}
+	d.history.RecordProcess(n.processRecord)
 	n.usage.Starts++
 	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
 	n.alive, n.stopping = true, false
@@ -155,17 +155,17 @@
 func (n *node) becomeReady() {
 	n.running = n.alive
 	if n.admitted = n.alive && n.hasList; n.admitted {
-		n.record.ReadyAt = n.sim.now
+		n.processRecord.ReadyAt = n.sim.now
 	}
 }
 
 // post queues an event for the event loop; each takes the processor for eventCost.
 func (n *node) post(do func()) {
-	life := n.record
+	life := n.processRecord
 	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
 	n.busyUntil = start + n.eventCost
 	n.sim.at(start, func() {
-		if !n.alive || n.record != life {
+		if !n.alive || n.processRecord != life {
 			return
 		}
 		if n.pausedUntil > n.sim.now { // paused since it was queued
@@ -184,7 +184,7 @@
 	}
 	d := n.sim
 	n.alive, n.admitted = false, n.admitted && !n.stopping
-	n.record.EndedAt = d.now
+	n.processRecord.EndedAt = d.now
 	n.membership = nil
 	for _, x := range n.pendingOrder {
 		if !x.answered {
@@ -194,7 +194,7 @@
 		for _, h := range x.attempts {
 			if !h.ended {
 				h.ended = true
-				n.closeConnection(h.conn)
+				n.closeConnection(h.connection)
 				h.notifyCanceled()
 			}
 		}
@@ -207,9 +207,9 @@
 	if n.watch != nil {
 		n.watch.close()
 	}
-	life := n.record
+	life := n.processRecord
 	d.after(int64(d.scenario.Nodes.DeathNotice), func() {
-		if n.record == life && !n.alive {
+		if n.processRecord == life && !n.alive {
 			n.admitted = false
 		}
 	})
@@ -217,7 +217,7 @@
 
 // receive takes a request whose last byte has come.
 func (n *node) receive(t *clientRequest, rec *invariant.Request) {
-	x := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: t, record: rec}
+	x := &pendingRequest{node: n, incarnation: n.processRecord.Incarnation, request: t, record: rec}
 	n.pendingOrder = append(n.pendingOrder, x)
 	if len(n.pendingOrder) > 1024 && len(n.pendingOrder) > 4*len(n.requests) {
 		kept := n.pendingOrder[:0]
@@ -278,12 +278,12 @@
 	}
 	x.answered = true
 	n.release(x)
-	life := n.record
+	life := n.processRecord
 	n.sim.after(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
-		if n.alive && n.record == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
+		if n.alive && n.processRecord == life && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
 			return // the client receives nothing
 		}
-		if n.alive && n.record == life {
+		if n.alive && n.processRecord == life {
 			n.sim.clients.answered(x, status, advice)
 		} else {
 			n.sim.clients.lost(x)
@@ -297,12 +297,12 @@
 		return
 	}
 	h.ended = true
-	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.conn.overLimit {
-		n.putIdle(h.conn)
+	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !h.connection.overLimit {
+		n.putIdle(h.connection)
 	} else {
-		n.closeConnection(h.conn)
+		n.closeConnection(h.connection)
 	}
-	if h.pending.incarnation != n.record.Incarnation || !n.alive {
+	if h.pending.incarnation != n.processRecord.Incarnation || !n.alive {
 		return
 	}
 	at, fresh := n.clock(), h.newConnection
@@ -386,7 +386,7 @@
 	}
 	for _, x := range n.pendingOrder {
 		for _, h := range x.attempts {
-			if h.endpoint != m || h.ended || h.conn == nil || m.isCutFrom(n.index) && !healed {
+			if h.endpoint != m || h.ended || h.connection == nil || m.isCutFrom(n.index) && !healed {
 				continue
 			}
 			h.record.ClosedAt = min(h.record.ClosedAt, n.sim.now)
@@ -422,8 +422,8 @@
 		return
 	}
 	h.incarnation, h.oneWay = m.incarnation, m.delayTo(n)
-	h.conn = n.acquire(m)
-	if h.conn == nil {
+	h.connection = n.acquire(m)
+	if h.connection == nil {
 		n.failToConnect(h)
 		return
 	}
@@ -460,7 +460,7 @@
 		return // it never arrives; the node cannot know
 	}
 	delay := h.oneWay + d.linkDelay(n.linkEnd(), m.linkEnd())
-	h.newConnection = h.conn.isNew
+	h.newConnection = h.connection.isNew
 	if h.newConnection {
 		delay += int64(m.fleet.ConnectionWait) + 2*h.oneWay
 	}
@@ -513,9 +513,9 @@
 		}
 		return
 	}
-	life := n.record
+	life := n.processRecord
 	d.at(when, func() {
-		if n.alive && n.record == life {
+		if n.alive && n.processRecord == life {
 			n.post(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
