--- a/internal/lab/scale/balancer.go
+++ b/internal/lab/scale/balancer.go
@@ -145,9 +145,9 @@
 	costs := requestCosts{sorted: make([]float64, 0, requests)}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	startedAt := threadTime()
+	loopStart := threadTime()
 	for i, id := range ids {
-		if i >= minRequests && threadTime()-startedAt > seconds {
+		if i >= minRequests && threadTime()-loopStart > seconds {
 			break
 		}
 		in.now += interval
