--- a/internal/lab/result/analysis.go
+++ b/internal/lab/result/analysis.go
@@ -9,12 +9,12 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// fiveSecondsNs is that of Result.Spans, in nanoseconds.
+// fiveSecondsNs is the interval of each tally in Result.FiveSeconds, in nanoseconds.
 const fiveSecondsNs = int64(5 * time.Second)
 
-// FromTrace derives the figures and the verdict of a run.
+// FromTrace computes the figures and the verdict of a run from its trace.
 func FromTrace(s *scenario.Scenario, r *trace.Trace) *Result {
-	out := &Result{
+	result := &Result{
 		Scenario: s.Name, About: s.About, LengthS: s.Length.Std().Seconds(), LateMs: float64(r.Lag) / 1e6,
 		Plan:           Plan{r.Plan.Seed, r.PlanHash, len(r.Plan.Operations)},
 		ViolationCount: len(r.Violations), Violations: r.Violations,
@@ -24,23 +24,23 @@
 		Virtual: r.Virtual, Activity: r.Activity, Reach: r.Reach,
 		Views: viewsOf(r.Views, r.Running), MembershipViews: r.Views, Running: r.Running,
 	}
-	out.tallyRequests(s, r)
-	out.addFaults(s, r)
-	out.checkExpectations(s, r.BadClients)
-	out.Verdict = out.verdict(r.Void)
-	return out
+	result.tallyRequests(s, r)
+	result.addFaults(s, r)
+	result.checkExpectations(s, r.BadClients)
+	result.Verdict = result.verdict(r.Void)
+	return result
 }
 
-// tallyRequests counts each request in all of the tallies that it belongs to.
+// tallyRequests counts each request in the total and in the tallies of its class, its tenant and its due time.
 func (r *Result) tallyRequests(s *scenario.Scenario, run *trace.Trace) {
 	all := newTally()
-	spans := newTallies(int64(s.Length), fiveSecondsNs)
+	fiveSeconds := newTallies(int64(s.Length), fiveSecondsNs)
 	seconds := newTallies(int64(s.Length), int64(time.Second))
 	for i := range run.Plan.Operations {
 		operation := &run.Plan.Operations[i]
 		class := &s.Classes[operation.Class]
 		due := operation.Due - run.StartedAt
-		tallies := []*Tally{all, tallyByName(r.Classes, class.Name), spans[due/fiveSecondsNs], seconds[due/int64(time.Second)]}
+		tallies := []*Tally{all, tallyByName(r.Classes, class.Name), fiveSeconds[due/fiveSecondsNs], seconds[due/int64(time.Second)]}
 		if operation.Tenant >= 0 {
 			tallies = append(tallies, tallyByName(r.Tenants, s.Tenants[operation.Tenant].Name))
 		}
@@ -55,7 +55,7 @@
 	for _, t := range r.Tenants {
 		t.finish()
 	}
-	r.FiveSeconds = finishAll(spans)
+	r.FiveSeconds = finishAll(fiveSeconds)
 	r.Seconds = finishAll(seconds)
 }
 
@@ -67,7 +67,7 @@
 	return finished
 }
 
-// addFaults lists the faults, and computes the recovery after the last power loss.
+// addFaults lists the faults of the run and computes the recovery time after the last power loss.
 func (r *Result) addFaults(s *scenario.Scenario, run *trace.Trace) {
 	for i := range run.Plan.Faults {
 		fault := &run.Plan.Faults[i]
@@ -83,7 +83,7 @@
 	}
 }
 
-// countAttempts counts attempts from the history that the endpoints recorded.
+// countAttempts counts attempts and their outcomes from the history that the endpoints recorded.
 func countAttempts(s *scenario.Scenario, r *trace.Trace) Attempts {
 	classOf := map[string]int{}
 	operationOf := map[string]string{}
@@ -101,20 +101,20 @@
 	}
 }
 
-// SlowStart tells how much load endpoints got at most within a window after a start, against their slow-start budget N
-// of requests of mean work.
+// SlowStart reports the highest load that endpoints received within a window after a start, relative to their
+// slow-start budget of N requests of mean work.
 type SlowStart struct {
 	Starts  int           `json:"lives"`
 	Crashes int           `json:"falls"` // endpoints that were overloaded in slow start
-	All     SlowStartPeak `json:"all"`   // the worst peak of all load
-	Known   SlowStartPeak `json:"told"`  // of moments at which over two thirds came from nodes that knew of the start
+	All     SlowStartPeak `json:"all"`   // the worst peak
+	Known   SlowStartPeak `json:"told"`  // the worst peak with over two thirds of the load from nodes that knew of the start
 }
 
-// SlowStartPeak is the worst peak over a number of starts.
+// SlowStartPeak is the peak load with the largest excess over a number of starts.
 type SlowStartPeak struct {
 	Starts   int     `json:"lives"`
-	Excess   float64 `json:"over"` // over the budget N, in square roots of N; negative: within the budget
-	Load     float64 `json:"got"`  // requests of mean work
+	Excess   float64 `json:"over"` // load above the budget N, in units of the square root of N; negative: within the budget
+	Load     float64 `json:"got"`  // in requests of mean work
 	Budget   float64 `json:"budget"`
 	Endpoint int     `json:"server"`
 	AtS      float64 `json:"at_s"` // seconds since the start of the run
@@ -131,7 +131,7 @@
 	}
 }
 
-// worstPeak returns the first of those with the largest excess.
+// worstPeak returns the peak with the largest excess; of equal ones, the first.
 func worstPeak(peaks []invariant.Peak, startedAt int64) SlowStartPeak {
 	var worst SlowStartPeak
 	for i, p := range peaks {
@@ -146,23 +146,24 @@
 	return worst
 }
 
-// Service has recovered once this part of the weight is in time, in so many seconds on end.
+// Service counts as recovered after recoveredSeconds consecutive seconds in each of which at least recoveredFraction of
+// the weight was answered in time.
 const (
 	recoveredFraction = 0.95
 	recoveredSeconds  = 2
 )
 
-// recoveryAfter returns the seconds from a moment until service had recovered; -1: not by the end.
-func (r *Result) recoveryAfter(from float64) float64 {
-	good := 0
-	for i := int(from); i < len(r.Seconds); i++ {
+// recoveryAfter returns the seconds from startS until service had recovered; -1 if it had not by the end of the run.
+func (r *Result) recoveryAfter(startS float64) float64 {
+	goodSeconds := 0
+	for i := int(startS); i < len(r.Seconds); i++ {
 		if t := &r.Seconds[i]; t.Weight > 0 && t.WeightInTime >= recoveredFraction*t.Weight {
-			good++
+			goodSeconds++
 		} else {
-			good = 0
+			goodSeconds = 0
 		}
-		if good == recoveredSeconds {
-			return float64(i-1) - from
+		if goodSeconds == recoveredSeconds {
+			return float64(i-1) - startS
 		}
 	}
 	return -1
--- a/internal/lab/result/expectations.go
+++ b/internal/lab/result/expectations.go
@@ -7,24 +7,24 @@
 	"fawnglade/internal/lab/trace"
 )
 
-// expect notes an expectation that did not hold.
+// expect adds a message to Missed unless the expectation holds.
 func (r *Result) expect(holds bool, format string, args ...any) {
 	if !holds {
 		r.Missed = append(r.Missed, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkExpectations holds the run against what its scenario expects.
-func (r *Result) checkExpectations(s *scenario.Scenario, bad trace.BadClientCounts) {
+// checkExpectations checks the run against the expectations of its scenario.
+func (r *Result) checkExpectations(s *scenario.Scenario, badClients trace.BadClientCounts) {
 	e := &s.Expect
 	r.expect(r.ViolationCount == 0, "rules broken %d times, expected never", r.ViolationCount)
 	r.checkOutcomes(e)
-	if bad.Connected > 0 {
-		unanswered := float64(bad.Unanswered) / float64(bad.Connected)
+	if badClients.Connected > 0 {
+		unanswered := float64(badClients.Unanswered) / float64(badClients.Connected)
 		r.expect(unanswered <= e.MaxBadUnanswered,
 			"%.4f of the bad clients got neither an error nor a close, expected %.4f at most",
 			unanswered, e.MaxBadUnanswered)
-		r.expect(bad.Served == 0, "%d bad clients were served, expected none", bad.Served)
+		r.expect(badClients.Served == 0, "%d bad clients were served, expected none", badClients.Served)
 	}
 	r.expect(r.Lost <= e.MaxLost, "%d tasks lost, expected %d at most", r.Lost, e.MaxLost)
 	for _, n := range r.Nodes {
@@ -46,7 +46,7 @@
 		"at the end nodes believe wrongly which of them run, expected that all know")
 }
 
-// checkOutcomes checks the outcomes of requests; those that clients canceled count for nothing.
+// checkOutcomes checks the outcomes of requests. Requests that clients canceled are not counted.
 func (r *Result) checkOutcomes(e *scenario.Expect) {
 	requests := float64(max(r.Requests-r.Canceled, 1))
 	r.expect(r.FractionInTime >= e.MinWeightInTime, "earnings in time %.4f, expected %.4f at least", r.FractionInTime, e.MinWeightInTime)
--- a/internal/lab/scale/disk.go
+++ b/internal/lab/scale/disk.go
@@ -13,8 +13,8 @@
 	"fawnglade/internal/store"
 )
 
-// Probe of the persisted state: the node's own state and store, without a node. Files are read from the system's cache,
-// not from a disk after a power loss.
+// Probe of the persisted state: the packages nodestate and store without a node. Files are read from the page cache, so
+// the figures do not include disk reads after a power loss.
 
 const methodClock = "a clock"
 
@@ -94,30 +94,30 @@
 	values    Values
 }
 
-// measureWrites measures a new store, and closes it.
+// measureWrites measures writes to a new store, and closes the store.
 func (d *diskMeasurement) measureWrites() (err error) {
-	to, _, err := store.Open(d.path, store.Options{})
+	stateStore, _, err := store.Open(d.path, store.Options{})
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, to.Close()) }()
+	defer func() { err = errors.Join(err, stateStore.Close()) }()
 	before := heapInUse()
 	states := d.states()
 	d.values["memory"] = heapInUse() - before
-	if err := d.measureFirstWrite(to, states); err != nil {
+	if err := d.measureFirstWrite(stateStore, states); err != nil {
 		return err
 	}
 	all := stateEndpoints(0, d.endpoints)
 	d.values["listed"] = cpuTimeOf(func() { states[0].RecordList(d.now, all, 2, true) })
-	if err := d.measureChanges(to, states[0]); err != nil {
+	if err := d.measureChanges(stateStore, states[0]); err != nil {
 		return err
 	}
 	runtime.KeepAlive(states)
 	return nil
 }
 
-// states returns so many states as are needed for all endpoints: one keeps nodestate.MaxEndpoints, and the store is to
-// be measured at every size.
+// states returns as many states as all endpoints need. One state keeps at most nodestate.MaxEndpoints, but the store is
+// measured at larger sizes too.
 func (d *diskMeasurement) states() []*nodestate.State {
 	var states []*nodestate.State
 	for from := 0; from < d.endpoints; from += nodestate.MaxEndpoints {
@@ -128,26 +128,26 @@
 	return states
 }
 
-func (d *diskMeasurement) measureFirstWrite(to *store.Store, states []*nodestate.State) error {
+func (d *diskMeasurement) measureFirstWrite(stateStore *store.Store, states []*nodestate.State) error {
 	var err error
-	began := time.Now()
+	startedAt := time.Now()
 	d.values["write"] = cpuTimeOf(func() {
 		for _, state := range states {
 			if err == nil {
-				err = writeChanges(to, state)
+				err = writeChanges(stateStore, state)
 			}
 		}
 	})
 	if err != nil {
 		return err
 	}
-	d.values["written"] = time.Since(began).Seconds()
+	d.values["written"] = time.Since(startedAt).Seconds()
 	d.values["bytes"] = sizeOfFiles(d.path)
 	return nil
 }
 
-// measureChanges drains endpoints one by one, and writes after each.
-func (d *diskMeasurement) measureChanges(to *store.Store, state *nodestate.State) error {
+// measureChanges drains endpoints one by one, and writes the state after each.
+func (d *diskMeasurement) measureChanges(stateStore *store.Store, state *nodestate.State) error {
 	list := stateEndpoints(0, min(nodestate.MaxEndpoints, d.endpoints))
 	changes := pick(d.env, 50, 5)
 	var err error
@@ -157,43 +157,43 @@
 			changed.State = nodestate.Draining
 			state.RecordList(d.now, []nodestate.Endpoint{changed}, int64(10+i), false)
 			if err == nil {
-				err = writeChanges(to, state)
+				err = writeChanges(stateStore, state)
 			}
 		}
 	}) / float64(changes)
 	return err
 }
 
-// measureOpen measures a start from the store, and returns how many endpoints the state keeps.
+// measureOpen measures a start from the store, and returns the number of endpoints that the state has kept.
 func (d *diskMeasurement) measureOpen() (kept int, err error) {
 	before := heapInUse()
-	began := time.Now()
-	var from *store.Store
+	startedAt := time.Now()
+	var stateStore *store.Store
 	var state *nodestate.State
 	d.values["open"] = cpuTimeOf(func() {
-		from, _, err = store.Open(d.path, store.Options{})
+		stateStore, _, err = store.Open(d.path, store.Options{})
 		if err == nil {
-			state, err = loadState(from)
+			state, err = loadState(stateStore)
 		}
 	})
-	if from != nil {
-		defer func() { err = errors.Join(err, from.Close()) }()
+	if stateStore != nil {
+		defer func() { err = errors.Join(err, stateStore.Close()) }()
 	}
 	if err != nil {
 		return 0, err
 	}
-	d.values["opened"] = time.Since(began).Seconds()
+	d.values["opened"] = time.Since(startedAt).Seconds()
 	kept = state.EndpointCount()
-	state = nil // its memory is not the store's
+	state = nil // to measure the memory of the store alone
 	d.values["index"] = heapInUse() - before
-	runtime.KeepAlive(from)
+	runtime.KeepAlive(stateStore)
 	return kept, nil
 }
 
-func loadState(from *store.Store) (*nodestate.State, error) {
+func loadState(stateStore *store.Store) (*nodestate.State, error) {
 	var err error
 	state := nodestate.Load(func(load func(string, []byte)) {
-		snapshot := from.Snapshot()
+		snapshot := stateStore.Snapshot()
 		defer snapshot.Release()
 		err = snapshot.Each("", func(key string, value []byte) bool {
 			load(key, value)
@@ -203,8 +203,8 @@
 	return state, err
 }
 
-// writeChanges writes what has changed in a state.
-func writeChanges(to *store.Store, state *nodestate.State) error {
+// writeChanges writes the changes of a state to the store.
+func writeChanges(stateStore *store.Store, state *nodestate.State) error {
 	var batch store.Batch
 	for _, change := range state.Changes() {
 		if change.Value == nil {
@@ -213,14 +213,14 @@
 			batch.Put(change.Key, change.Value)
 		}
 	}
-	return to.Apply(&batch)
+	return stateStore.Apply(&batch)
 }
 
-// stateEndpoints returns n endpoints from a number on.
-func stateEndpoints(from, n int) []nodestate.Endpoint {
+// stateEndpoints returns n endpoints with numbers from first on.
+func stateEndpoints(first, n int) []nodestate.Endpoint {
 	list := make([]nodestate.Endpoint, n)
 	for k := range list {
-		i := from + k
+		i := first + k
 		list[k] = nodestate.Endpoint{
 			Name: endpointName(i), Address: endpointAddress(i), Zone: zoneName(i), Pod: i / podSize, Weight: 1,
 			StartedNs: 1_700_000_000e9 + int64(i),
--- a/internal/lab/scale/subscribers.go
+++ b/internal/lab/scale/subscribers.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// subscribers are many of them at one relay, all with the same scopes.
+// subscribers measures many subscribers of one relay, all with the same scopes.
 type subscribers struct {
 	env    *Env
 	size   float64
@@ -83,8 +83,9 @@
 	origin *distribution.Origin
 	relay  *distribution.Relay
 	all    []*distribution.Subscriber
-	ids    []int // at the relay
-	// frames wait for each subscriber, so that the relay's cost and the subscribers' are measured apart.
+	ids    []int // IDs of the subscribers at the relay
+	// frames buffers the frames for each subscriber, so that the costs of relay and subscribers are measured
+	// separately.
 	frames [][][]byte
 }
 
@@ -93,8 +94,8 @@
 		return err
 	}
 	defer runtime.KeepAlive(s)
-	for _, part := range []func() error{s.measureStart, s.measureHeartbeats, s.measureFanOut, s.measureResumption} {
-		if err := part(); err != nil {
+	for _, step := range []func() error{s.measureStart, s.measureHeartbeats, s.measureFanOut, s.measureResumption} {
+		if err := step(); err != nil {
 			return err
 		}
 	}
@@ -114,25 +115,25 @@
 	n := int(s.size)
 	s.ids, s.frames = make([]int, n), make([][][]byte, n)
 	for range n {
-		one, err := distribution.NewSubscriber(selectors, distribution.Limits{})
+		subscriber, err := distribution.NewSubscriber(selectors, distribution.Limits{})
 		if err != nil {
 			return err
 		}
-		s.all = append(s.all, one)
+		s.all = append(s.all, subscriber)
 	}
 	return nil
 }
 
-// hellos are the first messages of all subscribers.
+// hellos returns the hello messages of all subscribers.
 func (s *subscribers) hellos() [][]byte {
 	var hellos [][]byte
-	for _, one := range s.all {
-		hellos = append(hellos, one.Hello())
+	for _, subscriber := range s.all {
+		hellos = append(hellos, subscriber.Hello())
 	}
 	return hellos
 }
 
-// attach has the relay take on all subscribers and send what it has for them; it returns the bytes to each.
+// attach attaches all subscribers to the relay and collects the frames for them. It returns the bytes per subscriber.
 func (s *subscribers) attach(hellos [][]byte) (bytes float64, err error) {
 	for i, hello := range hellos {
 		s.ids[i], err = s.relay.Attach(s.now, hello, 0)
@@ -143,7 +144,7 @@
 	return s.send(), nil
 }
 
-// send collects the frames that the relay has for all, and returns the bytes to each.
+// send collects the frames that the relay has for all subscribers, and returns the bytes per subscriber.
 func (s *subscribers) send() float64 {
 	bytes := 0.0
 	for i, id := range s.ids {
@@ -159,11 +160,11 @@
 	return bytes / s.size
 }
 
-// receive has all subscribers take their frames.
+// receive delivers the buffered frames to all subscribers.
 func (s *subscribers) receive() error {
-	for i, one := range s.all {
+	for i, subscriber := range s.all {
 		for _, frame := range s.frames[i] {
-			if _, err := one.Receive(s.now, frame); err != nil {
+			if _, err := subscriber.Receive(s.now, frame); err != nil {
 				return err
 			}
 		}
@@ -187,12 +188,12 @@
 	}
 	runtime.KeepAlive(hellos)
 	received := heapInUse()
-	frames := s.values["startwire"] * s.size // in memory while they waited, freed now
+	frames := s.values["startwire"] * s.size // bytes of the buffered frames, freed by now
 	s.values["relay"] = max(sent-before-frames, 0)
 	s.values["subscriber"] = max(received-sent+frames, 0) / s.size
-	for i, one := range s.all {
-		if held := one.Stats().Records; !one.Complete() || held != scopesPerNode*serviceEndpoints {
-			return fmt.Errorf("subscriber %d holds %d of %d records", i, held, scopesPerNode*serviceEndpoints)
+	for i, subscriber := range s.all {
+		if held := subscriber.Stats().Records; !subscriber.Complete() || held != scopesPerNode*serviceEndpoints {
+			return fmt.Errorf("subscriber %d: got %d of %d records, or is not complete", i, held, scopesPerNode*serviceEndpoints)
 		}
 	}
 	return nil
@@ -248,9 +249,9 @@
 	if err := errors.Join(err, s.receive()); err != nil {
 		return err
 	}
-	for i, one := range s.all {
-		if stats := one.Stats(); stats.Snapshots+stats.Swept > 0 {
-			return fmt.Errorf("subscriber %d was sent its scopes anew", i)
+	for i, subscriber := range s.all {
+		if stats := subscriber.Stats(); stats.Snapshots+stats.Swept > 0 {
+			return fmt.Errorf("subscriber %d: expected to resume from its position, got a snapshot", i)
 		}
 	}
 	return nil
--- a/internal/lab/sweep/plot.go
+++ b/internal/lab/sweep/plot.go
@@ -16,8 +16,8 @@
 
 const heatMapColors = 64
 
-// Plot writes a PNG for each figure into a directory: over one axis, a line with 95% intervals for each decider; over
-// two, a heat map of the first decider.
+// Plot writes a PNG for each figure to a directory: for one axis, a line with 95% confidence intervals for each
+// decider; for two axes, a heat map of the first decider.
 func Plot(dir string, axes []Axis, deciders []string, rows []Row) error {
 	var problems []error
 	for column, name := range Columns {
@@ -31,7 +31,7 @@
 	return errors.Join(problems...)
 }
 
-// estimates are the points of one line.
+// estimates are the points of one line with their error bars.
 type estimates struct {
 	plotter.XYs
 	plotter.YErrors
@@ -40,8 +40,8 @@
 func plotLines(path string, axis Axis, deciders []string, rows []Row, column int) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = Columns[column], axis.Key, Columns[column]
-	for i, by := range deciders {
-		points := estimatesOf(axis, by, rows, column)
+	for i, decider := range deciders {
+		points := estimatesOf(axis, decider, rows, column)
 		line, dots, err := plotter.NewLinePoints(points.XYs)
 		if err != nil {
 			return err
@@ -53,17 +53,17 @@
 		color := plotutil.Color(i)
 		line.Color, dots.Color, bars.Color = color, color, color
 		p.Add(line, dots, bars)
-		p.Legend.Add(by, line)
+		p.Legend.Add(decider, line)
 	}
 	p.Legend.Top = true
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// estimatesOf returns the estimates along an axis, without values that were not played.
-func estimatesOf(axis Axis, by string, rows []Row, column int) estimates {
+// estimatesOf returns the estimates along an axis. Values without a finished run are omitted.
+func estimatesOf(axis Axis, decider string, rows []Row, column int) estimates {
 	var points estimates
 	for i, value := range axis.Values {
-		repeats := selectRows(rows, by, value)
+		repeats := selectRows(rows, decider, value)
 		if len(repeats) == 0 {
 			continue
 		}
@@ -74,7 +74,7 @@
 	return points
 }
 
-// position returns where a value is drawn: at its number, or at its index if it is not a number.
+// position returns the x position of a value: the value itself if it is a number, else its index.
 func (a Axis) position(index int) float64 {
 	if v, err := strconv.ParseFloat(a.Values[index], 64); err == nil {
 		return v
@@ -82,10 +82,10 @@
 	return float64(index)
 }
 
-// heatMap holds the means of two axes' cells.
+// heatMap holds the mean of each cell of a grid with two axes. It implements plotter.GridXYZ.
 type heatMap struct {
 	axes  []Axis
-	means [][]float64 // by index on the first axis, then on the second
+	means [][]float64 // indexed by the first axis, then by the second
 }
 
 // Dims implements plotter.GridXYZ.
@@ -100,19 +100,19 @@
 // Z implements plotter.GridXYZ.
 func (h heatMap) Z(column, row int) float64 { return h.means[column][row] }
 
-func plotHeatMap(path string, axes []Axis, by string, rows []Row, column int) error {
+func plotHeatMap(path string, axes []Axis, decider string, rows []Row, column int) error {
 	grid := heatMap{axes: axes}
 	low, high := math.Inf(1), math.Inf(-1)
 	for _, x := range axes[0].Values {
 		var means []float64
 		for _, y := range axes[1].Values {
-			mean := estimateOf(selectRows(rows, by, x, y), column).mean
+			mean := estimateOf(selectRows(rows, decider, x, y), column).mean
 			means = append(means, mean)
 			low, high = math.Min(low, mean), math.Max(high, mean)
 		}
 		grid.means = append(grid.means, means)
 	}
-	if !(low < high) { // all equal: the color scale needs a width
+	if !(low < high) { // all equal or none: the color scale needs a nonempty range
 		high = low + 1e-9
 	}
 	colors := moreland.SmoothBlueRed()
@@ -121,7 +121,7 @@
 	cells := plotter.NewHeatMap(grid, colors.Palette(heatMapColors))
 	cells.Min, cells.Max = low, high
 	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", Columns[column], by, low, high)
+	p.Title.Text = fmt.Sprintf("%s of %s, %.3f (blue) to %.3f (red)", Columns[column], decider, low, high)
 	p.X.Label.Text, p.Y.Label.Text = axes[0].Key, axes[1].Key
 	p.NominalX(axes[0].Values...)
 	p.NominalY(axes[1].Values...)
