--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -33,7 +33,7 @@
 
 	mu       sync.Mutex
 	canceled bool   // canceled, or ended
-	onCancel func() // interrupts what the worker waits for; nil: it does not wait
+	onCancel func() // interrupts the worker's wait; nil: it does not wait
 }
 
 // cancel cancels the attempt and interrupts its worker. Further calls do nothing.
@@ -48,8 +48,8 @@
 	}
 }
 
-// setOnCancel sets the function that cancel calls; nil: none. It returns false, without storing wake, if the attempt is
-// already canceled.
+// setOnCancel sets the function that cancel calls; nil: none. If the attempt is already canceled or has
+// ended, it sets none and returns false.
 func (a *attempt) setOnCancel(wake func()) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,8 +67,8 @@
 	return a.canceled
 }
 
-// setDeadline sets a read or write deadline, which has already expired if the attempt is canceled. Guards against a
-// cancel whose expired deadline another goroutine then replaces by its own.
+// setDeadline sets a read or write deadline, which has already expired if the attempt is canceled. The lock
+// ensures that a concurrent call does not replace the expired deadline that cancel sets.
 func (a *attempt) setDeadline(set func(time.Time) error, deadline time.Time) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -50,7 +50,7 @@
 // goroutine only.
 type endpointWatch struct {
 	node               *Node
-	version            int64         // of the last update; the next call asks for later changes
+	version            int64         // of the last update; the next call requests later changes
 	versionAddress     string        // the discovery address that the version came from
 	callRequests       chan struct{} // buffers one request for a call
 	silenceTimeout     time.Duration
@@ -88,7 +88,7 @@
 }
 
 // setAddress closes the current watch and opens one at another address. List versions of different addresses can't be
-// compared, so the next call asks for the complete list.
+// compared, so the next call requests the complete list.
 func (w *endpointWatch) setAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -216,7 +216,7 @@
 	for {
 		update, err := w.node.readList(reader.Next)
 		if err != nil {
-			if stream.Err() == nil { // the update was received but is unusable: the next call asks for it again
+			if stream.Err() == nil { // the update was received but is unusable: the next call requests it again
 				w.node.counters.add(listEntriesSkipped)
 			}
 			return true, err
--- a/internal/node/hotrestart_test.go
+++ b/internal/node/hotrestart_test.go
@@ -78,7 +78,7 @@
 	fullLimit := predecessor.maxUpstreamConns()
 	successor := next()
 	if successor.inherited == nil || !successor.overrides.isKnown("s-7") && len(successor.chooseInitialList().entries) != 1 {
-		t.Fatalf("the successor did not inherit the predecessor's list: %+v", successor.inherited)
+		t.Fatalf("got inherited state %+v, want the predecessor's endpoint list", successor.inherited)
 	}
 	eventually(t, "the predecessor to release half of the limits", func() bool { return predecessor.maxUpstreamConns() < fullLimit })
 	if total := predecessor.maxUpstreamConns() + successor.maxUpstreamConns(); total > fullLimit+1 {
@@ -94,7 +94,7 @@
 		t.Error("the successor does not know an endpoint that the predecessor had listed")
 	}
 	if snapshot := successor.estimates(t); !snapshot.Endpoints[uint32(endpointID("s-7"))].HasLatency || snapshot.MeanWork == 0 || snapshot.Classes[3].WorkSamples == 0 {
-		t.Errorf("the successor does not have the predecessor's estimates: %+v", snapshot)
+		t.Errorf("got estimates %+v, want the predecessor's, with latency and work", snapshot)
 	}
 	acceptedBefore := predecessor.count(clientsAccepted)
 	for i := range 30 {
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -9,7 +9,7 @@
 
 // Chooses the endpoint list that a node starts from: the predecessor's at a hot restart, otherwise the newer of the
 // configured and the persisted list. From a configured list that is older, only endpoints missing from the persisted
-// list are added. The watch asks for the complete list unless the node starts from the configured one.
+// list are added. The watch requests the complete list unless the node starts from the configured one.
 
 // listUpdate is a complete endpoint list, or the changes of one.
 type listUpdate struct {
@@ -22,7 +22,7 @@
 type initialList struct {
 	entries      []endpointEntry
 	version      int64
-	watchResumes bool // the watch asks only for changes after the version
+	watchResumes bool // the watch requests only changes after the version
 }
 
 func (n *Node) chooseInitialList() initialList {
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -139,7 +139,7 @@
 			return sent > 40 && activeRequests.Load() > 2 && (!configuredIsNewer || drainingRequests.Load() > before)
 		})
 		if (drainingRequests.Load() > before) != configuredIsNewer {
-			t.Errorf("configured list of version %d, persisted list of version 5: got %d requests to the draining upstream, %d to the other", version, drainingRequests.Load()-before, activeRequests.Load())
+			t.Errorf("configured list of version %d, persisted list of version 5: got %d requests to the draining upstream (want some only if the configured list is newer), %d to the other", version, drainingRequests.Load()-before, activeRequests.Load())
 		}
 		restarted.persistence.close()
 		if version == 4 && !restarted.persistence.isOlderThan(6) {
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// update returns the entries with the states that apply, a function on the persisted state, gives them. It calls apply
-// with the lock held.
+// update returns the entries with the states that the function apply returns for them. It calls apply with the lock
+// held.
 func (p *persistence) update(
 	entries []endpointEntry, apply func([]nodestate.Endpoint) []nodestate.Endpoint,
 ) []endpointEntry {
@@ -116,7 +116,7 @@
 }
 
 // laterStartReported handles the latest start of this node that other nodes have seen. If it is later than all
-// persisted starts, the state directory is an older copy.
+// persisted starts, the state directory is an outdated copy.
 func (p *persistence) laterStartReported(startMs uint64) {
 	if p == nil {
 		return
@@ -125,7 +125,7 @@
 	olderCopy := p.state.ReportLaterStart(startMs)
 	p.mu.Unlock()
 	if olderCopy {
-		p.node.log.Warn("state directory is an older copy: other nodes have seen a later start; preferring the list")
+		p.node.log.Warn("state directory is an outdated copy: other nodes have seen a later start of this node; lists override the persisted state")
 	}
 }
 
