--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -160,7 +160,7 @@
 	}
 	before := n.clock.now()
 	if n.adminCall(t, "PUT /servers/enable?target=s-0") != 200 {
-		t.Fatal("enable: status is not 200")
+		t.Fatal("enable: got a status other than 200, want 200")
 	}
 	eventually(t, "the endpoint is in use again", func() bool { return countAtDisabled(fmt.Sprint("back", time.Now().UnixNano())) > 0 })
 	startedAt := make(chan policy.Time, 1)
--- a/internal/node/bufferedconn.go
+++ b/internal/node/bufferedconn.go
@@ -141,7 +141,7 @@
 }
 
 // isReusable reports whether an idle connection may carry another request: the peer has neither closed it nor sent
-// unsolicited bytes, such as a late response. A restarted upstream shows as a closed or reset connection.
+// unsolicited bytes, such as a late response. After a restart of an upstream its connection is closed or reset.
 func (c *bufferedConn) isReusable() bool {
 	_, err := sockstate.Peek(c.Conn)
 	return len(c.buffered()) == 0 && errors.Is(err, syscall.EAGAIN)
@@ -155,5 +155,5 @@
 
 // closedByPeer reports whether the peer has closed its sending side, even if unread bytes precede the end. It may be
 // called concurrently with reads and writes. It can't distinguish a half-close from a full close, which only a write
-// would show; the protocol treats a client that half-closes as gone.
+// would show; the protocol treats a half-close by a client as a disconnect.
 func (c *bufferedConn) closedByPeer() bool { return sockstate.PeerClosed(c.Conn) }
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -48,7 +48,7 @@
 	longBody := requestText("batch", "t", strings.Repeat("x", 900<<10))
 	resetConn := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
 	closeConn := func(c net.Conn) { c.Close() }
-	halfClose := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the protocol treats a client that half-closes as gone
+	halfClose := func(c net.Conn) { c.(*net.TCPConn).CloseWrite() } // the protocol treats it as a disconnect
 	for name, c := range map[string]struct {
 		text      string
 		closeConn func(net.Conn)
@@ -73,7 +73,7 @@
 			eventually(t, "the client connection is closed", n.allClientsClosed)
 			n.flushLoop()
 			if requests.Load() != 0 || n.count(requestsAccepted) != 0 {
-				t.Errorf("got %d requests accepted and %d sent to the upstream, want 0, as the client is gone",
+				t.Errorf("got %d requests accepted and %d sent to the upstream, want 0, as the client closed",
 					n.count(requestsAccepted), requests.Load())
 			}
 		})
@@ -168,13 +168,13 @@
 			return n.count(attemptsSent) == n.count(attemptsNotSent)
 		})
 		if requests.Load() != 0 {
-			t.Error("the upstream received the request, want none, as the client is gone")
+			t.Error("the upstream received the request, want none, as the client closed")
 		}
 	})
 }
 
-// clientCloseMethods are the ways in which a client can close its connection. The protocol treats a client that
-// half-closes as gone.
+// clientCloseMethods are the ways in which a client can close its connection. The protocol treats a
+// half-close as a disconnect.
 var clientCloseMethods = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
@@ -512,6 +512,6 @@
 		"latest attempt %v after its client closed", attempts, retries,
 		len(sessions.clientLeftAt), notStarted, maxDelay)
 	if late > 0 || attempts < 200 || retries < 20 || notStarted < 50 {
-		t.Errorf("got %d late attempts, want 0, and at least 200 attempts, 20 retries, 50 unsent requests in the log", late)
+		t.Errorf("got %d late attempts, want 0; want at least 200 attempts, 20 retries, 50 unsent requests in the log above", late)
 	}
 }
--- a/internal/node/evict_test.go
+++ b/internal/node/evict_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// A process that gets another one beside it evicts idle clients beyond its half of the slots even if no new clients
-// connect.
+// A lower connection limit, as set when a second process of the node starts and each gets half, evicts the idle clients
+// beyond it even if no new clients connect.
 func TestIdleClientsBeyondLimitAreEvicted(t *testing.T) {
 	upstream, _ := startUpstream(t, echo)
 	n := startNode(t, silentDiscovery(t), upstream)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -76,8 +76,8 @@
 	golden.Check(t, "load-head.txt", []byte(healthCheckHead("127.0.0.1:9")))
 }
 
-// TestGoldenRequestParsing compares what the policy is told about a request and about an upstream's response with
-// earlier builds.
+// TestGoldenRequestParsing compares the policy's input parsed from a request and from an upstream's response with that
+// of earlier builds.
 func TestGoldenRequestParsing(t *testing.T) {
 	n := newNode(t, nil)
 	var b bytes.Buffer
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -262,7 +262,7 @@
 		return endpointEntry{}, err
 	}
 	if len(update.entries) != 1 {
-		return endpointEntry{}, fmt.Errorf("%d entries, want 1", len(update.entries))
+		return endpointEntry{}, fmt.Errorf("got %d entries, want 1", len(update.entries))
 	}
 	return update.entries[0], nil
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -6,7 +6,7 @@
 )
 
 // How a node's file descriptors and memory are divided. Config.Limits applies to the whole node, so during a hot
-// restart each of its two processes gets half. A constant with the suffix Divisor is the divisor that yields a fraction
+// restart each of its two processes gets half. A constant with the suffix Divisor is the denominator of a fraction, 1/n
 // of an amount; one with the suffix Percent is a percentage.
 const (
 	defaultDescriptors = 1024
@@ -25,7 +25,7 @@
 	gcPercent         = 400 // GOGC: the heap is small, and collecting it takes CPU time from requests
 	bytesPerMiB       = 1 << 20
 	minOwnDescriptors = 4 // ownDescriptors is capped at half of the descriptors plus this
-	lentSlotDivisor   = 2 // of the client slots in excess of the upstream slots: may be lent (frontend.go)
+	lentSlotDivisor   = 2 // of the client slots in excess of the upstream slots: lent until both are equal (frontend.go)
 )
 
 // divideLimits sets the connection and memory limits. It is called at the start, and whenever the node's other process
--- a/internal/node/names.go
+++ b/internal/node/names.go
@@ -11,7 +11,7 @@
 //	X-Remaining-Ms         time until the deadline, milliseconds      Deadline
 //	X-Resent               the client has sent the request before     ClientRetry
 //	X-Estimate             expected work at an endpoint               CostHint
-//	cookie "key"           what the request concerns                  Key
+//	cookie "key"           affinity key                               Key
 //	X-Pressure             load report, in responses                  (policy.LoadReport)
 //	X-Turned-Away          the request was rejected, in responses     (policy.OutcomeRejected)
 //
@@ -103,8 +103,8 @@
 	return fmt.Sprintf("GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", pathLoad, address)
 }
 
-// isRequestFault reports whether a status blames the request itself. Any endpoint would respond like this, so the
-// response is forwarded to the client and says nothing about the endpoint.
+// isRequestFault reports whether a status means that the request itself is at fault. Any endpoint would respond like
+// this, so the response is forwarded to the client and says nothing about the endpoint.
 func isRequestFault(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooEarly, http.StatusTooManyRequests:
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -76,7 +76,7 @@
 			writeText(c, text)
 			status, _, _ := readResponse(in)
 			if elapsed := time.Since(startedAt); status != want || elapsed > 2900*time.Millisecond {
-				t.Errorf("%q: got status %d after %v, want the listed status within 2.9 s", text, status, elapsed)
+				t.Errorf("%q: got status %d after %v, want the status of the test case within 2.9 s", text, status, elapsed)
 			}
 		})
 	}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// response is the response to a client. Status 0 means no response, because the client has gone.
+// response is the response to a client. Status 0 means no response, because the client has closed its connection.
 type response struct {
 	status     int
 	header     http.Header
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -33,7 +33,7 @@
 
 	ended     chan struct{} // closed by finish
 	complete  atomic.Bool   // the complete body has been read
-	abandoned atomic.Bool   // no more of the body is to be read
+	abandoned atomic.Bool   // the rest of the body is not needed
 	consumed  atomic.Bool   // an attempt has started to read it, so the request can't be retried
 	mu        sync.Mutex    // held during a read
 	once      sync.Once
