--- a/internal/lab/emulator/discovery.go
+++ b/internal/lab/emulator/discovery.go
@@ -24,17 +24,17 @@
 type discovery struct {
 	run *Emulation
 
-	mu          sync.Mutex
-	list        *model.EndpointList
-	everListed  map[int]bool // endpoints that have ever been listed
-	initial     [][]byte     // the list at the start of the run, by node
-	down        bool
-	outage      *invariant.Outage
-	slowdown    float64
-	changeDelay time.Duration        // additional delay of changes of the list
-	endpoints   []*discoveryListener // by node
-	calls       chan *call
-	watches     map[*call]struct{}
+	mu               sync.Mutex
+	list             *model.EndpointList
+	everListed       map[int]bool // endpoints that have ever been listed
+	initial          [][]byte     // the list at the start of the run, by node
+	down             bool
+	outage           *invariant.Outage
+	slowdown         float64
+	extraChangeDelay time.Duration        // additional delay of changes of the list
+	listeners        []*discoveryListener // by node
+	calls            chan *call
+	watches          map[*call]struct{}
 }
 
 // discoveryListener is the listener at which one node reaches discovery.
@@ -50,7 +50,7 @@
 	node, incarnation int
 	conn              net.Conn
 	watch             bool
-	after             int64
+	afterVersion      int64
 	arrivedAt         time.Time
 	callerClosed      chan struct{} // closed when the caller has closed its connection
 	answered          chan struct{}
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, err
 		}
-		d.endpoints = append(d.endpoints, p)
+		d.listeners = append(d.listeners, p)
 	}
 	run.group.Go(func() error { d.handleCalls(); return nil })
 	return d, nil
@@ -93,7 +93,7 @@
 func (d *discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, p := range d.endpoints {
+	for _, p := range d.listeners {
 		p.close()
 	}
 }
@@ -161,7 +161,7 @@
 			continue
 		}
 		newCall := &call{
-			node: p.node, incarnation: d.run.nodes[p.node].incarnation(), conn: c, watch: watch, after: after,
+			node: p.node, incarnation: d.run.nodes[p.node].incarnation(), conn: c, watch: watch, afterVersion: after,
 			arrivedAt:    time.Now(),
 			callerClosed: make(chan struct{}), answered: make(chan struct{}),
 		}
@@ -199,8 +199,8 @@
 		settings := &d.run.scenario.Discovery
 		d.mu.Lock()
 		down, lines := d.down, len(d.list.Complete())
-		if c.after > 0 {
-			changed, _ := d.list.ChangesAfter(c.after)
+		if c.afterVersion > 0 {
+			changed, _ := d.list.ChangesAfter(c.afterVersion)
 			lines = len(changed)
 		}
 		cost := time.Duration(d.slowdown * float64(int64(settings.CallTime)+int64(settings.EntryTime)*int64(lines)))
@@ -297,7 +297,7 @@
 func (d *discovery) keepInitial() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for node := range d.endpoints {
+	for node := range d.listeners {
 		text, _ := d.encode(node, 0, d.list.Version(), d.list.Complete(), true)
 		d.initial = append(d.initial, text)
 	}
@@ -339,7 +339,7 @@
 		_, err := fmt.Fprintf(c.conn, "%x\r\n%s\n\r\n", len(text)+1, text)
 		return err
 	}
-	version, lastWriteAt := c.after, time.Now()
+	version, lastWriteAt := c.afterVersion, time.Now()
 	for first := true; ; first = false {
 		d.mu.Lock()
 		entries, complete := d.list.ChangesAfter(version)
@@ -375,7 +375,7 @@
 // set changes an entry of the list after a delay.
 func (d *discovery) set(l model.ListEntry, delay time.Duration) {
 	d.mu.Lock()
-	delay += d.changeDelay
+	delay += d.extraChangeDelay
 	d.mu.Unlock()
 	do := func() {
 		d.mu.Lock()
@@ -405,7 +405,7 @@
 		d.run.history.Update(func() { d.outage.To = now })
 	}
 	if d.down = down; down {
-		for _, p := range d.endpoints {
+		for _, p := range d.listeners {
 			for c := range p.conns {
 				reset(c)
 			}
@@ -415,14 +415,14 @@
 
 // move moves discovery to new addresses. The old listeners close at once, their connections after connectionCloseDelay.
 func (d *discovery) move() error {
-	for node := range d.endpoints {
+	for node := range d.listeners {
 		p, err := d.openAt(node, d.run.address(node, 1))
 		if err != nil {
 			return err
 		}
 		d.mu.Lock()
-		old := d.endpoints[node]
-		d.endpoints[node] = p
+		old := d.listeners[node]
+		d.listeners[node] = p
 		old.listener.Close()
 		old.listener = nil
 		d.mu.Unlock()
@@ -438,5 +438,5 @@
 func (d *discovery) addressFor(node int) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.endpoints[node].advertised
+	return d.listeners[node].advertised
 }
--- a/internal/lab/emulator/faults.go
+++ b/internal/lab/emulator/faults.go
@@ -72,7 +72,7 @@
 		set := func(wait time.Duration) {
 			run.discovery.mu.Lock()
 			defer run.discovery.mu.Unlock()
-			run.discovery.changeDelay = wait
+			run.discovery.extraChangeDelay = wait
 		}
 		set(time.Duration(f.Wait))
 		afterFault(func() { set(0) })
--- a/internal/lab/emulator/node.go
+++ b/internal/lab/emulator/node.go
@@ -109,23 +109,23 @@
 	config  string
 	log     *os.File
 
-	mu          sync.Mutex
-	handle      Process
-	record      *invariant.Process
-	stateLost   bool               // a fault has damaged the state directory since the last start
-	expectedEnd *invariant.Process // the process that a fault has ended
-	admitted    bool               // the front sends requests to the node
-	usage       trace.NodeUsage
-	previousCPU float64 // CPU seconds of earlier processes
+	mu            sync.Mutex
+	handle        Process
+	processRecord *invariant.Process
+	stateLost     bool               // a fault has damaged the state directory since the last start
+	expectedEnd   *invariant.Process // the process that a fault has ended
+	admitted      bool               // the front sends requests to the node
+	usage         trace.NodeUsage
+	previousCPU   float64 // CPU seconds of earlier processes
 }
 
 func (n *node) incarnation() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.record == nil {
+	if n.processRecord == nil {
 		return 0
 	}
-	return n.record.Incarnation
+	return n.processRecord.Incarnation
 }
 
 func (n *node) writeConfig(known []byte, seed uint64) error {
@@ -142,8 +142,8 @@
 func (n *node) start() error {
 	n.mu.Lock()
 	incarnation := 1
-	if n.record != nil {
-		incarnation = n.record.Incarnation + 1
+	if n.processRecord != nil {
+		incarnation = n.processRecord.Incarnation + 1
 	}
 	n.mu.Unlock()
 	seed := n.run.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(incarnation)
@@ -182,7 +182,7 @@
 	n.stateLost = false
 	n.run.history.RecordProcess(record)
 	n.mu.Lock()
-	n.handle, n.record = process, record
+	n.handle, n.processRecord = process, record
 	n.usage.Starts++
 	n.mu.Unlock()
 	n.run.group.Go(func() error { n.watch(process, record); return nil })
@@ -260,7 +260,7 @@
 
 func (n *node) end(s os.Signal, excused bool) {
 	n.mu.Lock()
-	process, record := n.handle, n.record
+	process, record := n.handle, n.processRecord
 	n.expectedEnd = record
 	n.mu.Unlock()
 	if process == nil {
@@ -292,7 +292,7 @@
 // pause suspends a node's process for a time.
 func (n *node) pause(d time.Duration) {
 	n.mu.Lock()
-	process, record := n.handle, n.record
+	process, record := n.handle, n.processRecord
 	n.mu.Unlock()
 	if process == nil || process.Signal(syscall.SIGSTOP) != nil {
 		return
--- a/internal/lab/scenario/linkfaults.go
+++ b/internal/lab/scenario/linkfaults.go
@@ -15,7 +15,7 @@
 )
 
 // Site returns the names and zones by which link faults refer to the ends of links.
-func (s *Scenario) Site() *netfault.Topology {
+func (s *Scenario) Topology() *netfault.Topology {
 	site := &netfault.Topology{Zones: s.Network.Zones, EndpointNames: s.EndpointNames()}
 	for i := range s.Nodes.Count {
 		site.NodeZones = append(site.NodeZones, s.NodeZone(i))
@@ -34,7 +34,7 @@
 	if FaultTargets[f.Kind] != LinkTarget {
 		return netfault.Fault{}, false
 	}
-	site := s.Site()
+	site := s.Topology()
 	from, errFrom := site.Ends(f.From)
 	to, errTo := site.Ends(f.To)
 	end := int64(f.At + f.For)
@@ -99,7 +99,7 @@
 		c.require(false, key, "at least one end of a link", "none")
 		return
 	}
-	if _, err := c.scenario.Site().Ends(names); err != nil {
+	if _, err := c.scenario.Topology().Ends(names); err != nil {
 		want, got, _ := strings.Cut(err.Error(), ", got ")
 		c.require(false, key, want, got)
 	}
--- a/internal/lab/simulation/clients.go
+++ b/internal/lab/simulation/clients.go
@@ -119,15 +119,15 @@
 		return
 	}
 	record := &invariant.Request{
-		ID: request.id, Operation: request.operation.Index, Node: n.index, Incarnation: n.record.Incarnation,
+		ID: request.id, Operation: request.operation.Index, Node: n.index, Incarnation: n.processRecord.Incarnation,
 		Class: request.operation.Class, SentAt: sim.now, Deadline: request.deadline,
 	}
 	sim.history.RecordRequest(record)
 	if delay := sim.linkDelay(front, end); delay > 0 {
 		record.SentAt += delay
-		request.pending = &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: record}
+		request.pending = &pendingRequest{node: n, incarnation: n.processRecord.Incarnation, request: request, record: record}
 		sim.delay(delay, func() {
-			if n.alive && n.record.Incarnation == record.Incarnation && !request.finished {
+			if n.alive && n.processRecord.Incarnation == record.Incarnation && !request.finished {
 				n.receive(request, record)
 			}
 		})
@@ -164,7 +164,7 @@
 		} else {
 			c.finishOrRetry(request, trace.Failed, false, 0)
 		}
-		if n.alive && request.pending.incarnation == n.record.Incarnation {
+		if n.alive && request.pending.incarnation == n.processRecord.Incarnation {
 			n.clientGone(request.pending)
 		}
 	})
--- a/internal/lab/simulation/discovery.go
+++ b/internal/lab/simulation/discovery.go
@@ -21,32 +21,32 @@
 )
 
 type discovery struct {
-	sim         *Simulation
-	list        *model.EndpointList
-	everListed  []int // endpoints that have ever been listed, in the order of their first listing
-	wasListed   map[int]bool
-	initial     []model.ListEntry
-	down        bool
-	outage      *invariant.Outage
-	slowdown    float64
-	changeDelay int64
-	busyUntil   int64 // when all calls that are queued now are handled
-	queuedCalls int
-	watches     []*watch
+	sim              *Simulation
+	list             *model.EndpointList
+	everListed       []int // endpoints that have ever been listed, in the order of their first listing
+	wasListed        map[int]bool
+	initial          []model.ListEntry
+	down             bool
+	outage           *invariant.Outage
+	slowdown         float64
+	extraChangeDelay int64
+	busyUntil        int64 // when all calls that are queued now are handled
+	queuedCalls      int
+	watches          []*watch
 }
 
 // watch is one node's watch of the list. It starts with the first call for it.
 type watch struct {
-	node       *node
-	process    *invariant.Process
-	record     *invariant.Watch
-	version    int64
-	startedAt  int64
-	scheduled  bool // an update is scheduled
-	closed     bool
-	calls      int  // number of calls made for the watch
-	unanswered int  // number of those without an answer
-	blocked    bool // an update was lost on a cut link
+	node          *node
+	processRecord *invariant.Process
+	record        *invariant.Watch
+	version       int64
+	startedAt     int64
+	scheduled     bool // an update is scheduled
+	closed        bool
+	calls         int  // number of calls made for the watch
+	unanswered    int  // number of those without an answer
+	blocked       bool // an update was lost on a cut link
 }
 
 func newDiscovery(sim *Simulation) *discovery {
@@ -69,7 +69,7 @@
 			w.schedule()
 		}
 	}
-	if delay += d.changeDelay; delay <= 0 {
+	if delay += d.extraChangeDelay; delay <= 0 {
 		do()
 		return
 	}
@@ -104,7 +104,7 @@
 	listed := map[int]bool{}
 	for _, l := range list {
 		written = append(written, invariant.ListEntry{
-			Node: n.index, Incarnation: n.record.Incarnation, Endpoint: l.Endpoint, State: l.State,
+			Node: n.index, Incarnation: n.processRecord.Incarnation, Endpoint: l.Endpoint, State: l.State,
 			StartedAt: l.StartedAt, At: d.sim.now,
 		})
 		listed[l.Endpoint] = true
@@ -113,7 +113,7 @@
 		for _, endpoint := range d.everListed {
 			if !listed[endpoint] {
 				written = append(written, invariant.ListEntry{
-					Node: n.index, Incarnation: n.record.Incarnation, Endpoint: endpoint, State: model.Removed,
+					Node: n.index, Incarnation: n.processRecord.Incarnation, Endpoint: endpoint, State: model.Removed,
 					At: d.sim.now,
 				})
 			}
@@ -125,7 +125,7 @@
 // startWatch starts a watch, unless the node has one.
 func (n *node) startWatch() {
 	if n.watch == nil {
-		n.watch = &watch{node: n, process: n.record, version: n.version}
+		n.watch = &watch{node: n, processRecord: n.processRecord, version: n.version}
 		n.watch.call()
 	}
 }
@@ -171,7 +171,7 @@
 	discovery.busyUntil = begin + cost
 	sim.at(discovery.busyUntil+sim.linkDelay(end, discoveryEnd)+sim.linkDelay(discoveryEnd, end), func() {
 		discovery.queuedCalls--
-		if w.closed || w.record != nil || n.record != w.process || !n.alive {
+		if w.closed || w.record != nil || n.processRecord != w.processRecord || !n.alive {
 			return
 		}
 		if discovery.down || begin-arrivedAt+cost > timeout || cost == 0 && begin > arrivedAt {
@@ -204,7 +204,7 @@
 	}
 	n := w.node
 	n.sim.delay(gap, func() {
-		if w.record == nil && !w.closed && n.record == w.process && n.alive {
+		if w.record == nil && !w.closed && n.processRecord == w.processRecord && n.alive {
 			w.call()
 		}
 	})
@@ -227,11 +227,11 @@
 	sim := n.sim
 	if w.record == nil {
 		sim.history.RecordWatch(&invariant.Watch{
-			Node: n.index, Incarnation: w.process.Incarnation, From: sim.now, To: sim.now, Failed: true,
+			Node: n.index, Incarnation: w.processRecord.Incarnation, From: sim.now, To: sim.now, Failed: true,
 		})
 	}
 	w.close()
-	if n.record != w.process || !n.alive {
+	if n.processRecord != w.processRecord || !n.alive {
 		return
 	}
 	if n.settings.Policy.MustPollList {
@@ -240,7 +240,7 @@
 		failures := n.failedCalls
 		sim.delay(callRetryInterval, func() {
 			// Otherwise the decisions have requested a watch before, which has failed too.
-			if n.alive && n.record == w.process && n.failedCalls == failures {
+			if n.alive && n.processRecord == w.processRecord && n.failedCalls == failures {
 				n.startWatch()
 			}
 		})
@@ -250,7 +250,7 @@
 	wait := n.callBackoff
 	n.callBackoff = min(2*n.callBackoff, int64(maxCallBackoff))
 	sim.delay(wait, func() {
-		if n.alive && n.record == w.process {
+		if n.alive && n.processRecord == w.processRecord {
 			n.startWatch()
 		}
 	})
@@ -277,7 +277,7 @@
 func (w *watch) open() {
 	sim := w.node.sim
 	w.record = &invariant.Watch{
-		Node: w.node.index, Incarnation: w.process.Incarnation, From: sim.now, To: invariant.Never,
+		Node: w.node.index, Incarnation: w.processRecord.Incarnation, From: sim.now, To: invariant.Never,
 	}
 	sim.history.RecordWatch(w.record)
 	w.startedAt = sim.now
--- a/internal/lab/simulation/endpoint.go
+++ b/internal/lab/simulation/endpoint.go
@@ -246,7 +246,7 @@
 	incarnation   int
 	sentAt        int64
 	deadline      int64
-	conn          *connection
+	connection    *connection
 	newConnection bool
 	record        *invariant.Attempt // nil until the first byte is written
 	id            int64
@@ -267,8 +267,8 @@
 	}
 	sim := e.sim
 	work := a.drawWork()
-	if a.conn.isNew {
-		a.conn.isNew = false
+	if a.connection.isNew {
+		a.connection.isNew = false
 		e.model.ConnectionOpened(sim.now)
 	}
 	e.lastID++
@@ -295,7 +295,7 @@
 	f := &e.faults
 	strikes := func(share float64) bool { return share > 0 && e.random.Float64() < share }
 	switch {
-	case a.conn.overLimit || e.draining || strikes(f.reject):
+	case a.connection.overLimit || e.draining || strikes(f.reject):
 		a.reject()
 	case strikes(f.reset):
 		a.reset(policy.OutcomeReset)
--- a/internal/lab/simulation/faults.go
+++ b/internal/lab/simulation/faults.go
@@ -40,8 +40,8 @@
 	case "discovery-move":
 		discovery.move()
 	case "lists-late":
-		discovery.changeDelay = int64(f.Wait)
-		sim.afterFault(f, func() { discovery.changeDelay = 0 })
+		discovery.extraChangeDelay = int64(f.Wait)
+		sim.afterFault(f, func() { discovery.extraChangeDelay = 0 })
 	case "wait":
 		key := sim.waitKey(f)
 		sim.slotWaits[key] = int64(f.Wait)
@@ -92,14 +92,14 @@
 	}
 	switch f.Kind {
 	case "kill":
-		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
+		sim.history.Excuse(n.processRecord, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		sim.restartAfterFault(f, n)
 	case "stop":
 		sim.stopNode(f, n)
 	case "freeze":
 		n.pausedUntil = sim.now + int64(f.For)
-		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: n.pausedUntil + catchUpTime})
+		sim.history.Excuse(n.processRecord, invariant.Interval{From: sim.now, To: n.pausedUntil + catchUpTime})
 	case "cut-node":
 		for _, e := range sim.endpoints {
 			if f.Zone == "" || e.spec.Zone == f.Zone {
@@ -124,9 +124,9 @@
 
 // restartFunc returns a function that restarts a node, unless it has been restarted already.
 func (sim *Simulation) restartFunc(n *node) func() {
-	process := n.record
+	process := n.processRecord
 	return func() {
-		if n.record == process && !n.alive {
+		if n.processRecord == process && !n.alive {
 			n.start()
 			sim.delay(startDelay, n.becomeReady)
 		}
@@ -135,19 +135,19 @@
 
 // stopNode shuts a node down gracefully: it accepts requests for a while, and ends once all requests have responses.
 func (sim *Simulation) stopNode(f *workload.Fault, n *node) {
-	process := n.record
+	process := n.processRecord
 	n.stopping = true
 	if n.membership != nil {
 		n.membership.Leave()
 	}
 	sim.delay(frontStopDelay, func() {
-		if n.record == process {
+		if n.processRecord == process {
 			n.admitted = false
 		}
 	})
 	var endWhenIdle func()
 	endWhenIdle = func() {
-		if n.record != process || !n.alive {
+		if n.processRecord != process || !n.alive {
 			return
 		}
 		if slices.ContainsFunc(n.pendingOrder, func(p *pendingRequest) bool { return !p.answered }) {
@@ -155,7 +155,7 @@
 			return
 		}
 		sim.delay(sendDelay, func() {
-			if n.record == process {
+			if n.processRecord == process {
 				n.kill()
 				sim.restartAfterFault(f, n)
 			}
@@ -179,7 +179,7 @@
 		if !n.alive {
 			continue
 		}
-		sim.history.Excuse(n.record, invariant.Interval{From: sim.now, To: invariant.Never})
+		sim.history.Excuse(n.processRecord, invariant.Interval{From: sim.now, To: invariant.Never})
 		n.kill()
 		if f.NodesBack > 0 {
 			sim.delay(f.RestoreDelay(f.NodesBack, f.Seed, i), sim.restartFunc(n))
--- a/internal/lab/simulation/links.go
+++ b/internal/lab/simulation/links.go
@@ -119,7 +119,7 @@
 	for i := range sim.scenario.Nodes.Count {
 		names = append(names, fmt.Sprintf("n%d", i))
 	}
-	seed := sim.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.record.Incarnation)
+	seed := sim.plan.Seed*1000003 + uint64(n.index)*7919 + uint64(n.processRecord.Incarnation)
 	membership, err := members.New(members.Config{
 		Name: names[n.index], Nodes: names, ProtocolPeriodNs: int64(sim.scenario.Nodes.ProtocolPeriod), Seed: seed,
 		RunID: uint32(seed*2654435761>>8) | 1, ReceivePayload: func(from int, payload []byte) { n.listGossip.receive(n, from, payload) },
--- a/internal/lab/simulation/node.go
+++ b/internal/lab/simulation/node.go
@@ -39,7 +39,7 @@
 	decider     Decider
 	usage       trace.NodeUsage
 
-	record          *invariant.Process
+	processRecord   *invariant.Process
 	alive           bool
 	admitted        bool // the front sends requests to the node
 	hasList         bool // the node has an endpoint list
@@ -121,12 +121,12 @@
 // start starts a process of the node.
 func (n *node) start() {
 	incarnation := 1
-	if n.record != nil {
-		incarnation = n.record.Incarnation + 1
+	if n.processRecord != nil {
+		incarnation = n.processRecord.Incarnation + 1
 	}
 	sim := n.sim
-	n.record = &invariant.Process{Node: n.index, Incarnation: incarnation, StartedAt: sim.now}
-	sim.history.RecordProcess(n.record)
+	n.processRecord = &invariant.Process{Node: n.index, Incarnation: incarnation, StartedAt: sim.now}
+	sim.history.RecordProcess(n.processRecord)
 	n.usage.Starts++
 	n.clockOffset, n.clockStep = n.clockOffset+n.clockStep, 0
 	n.alive, n.stopping = true, false
@@ -155,17 +155,17 @@
 func (n *node) becomeReady() {
 	n.running = n.alive
 	if n.admitted = n.alive && n.hasList; n.admitted {
-		n.record.ReadyAt = n.sim.now
+		n.processRecord.ReadyAt = n.sim.now
 	}
 }
 
 // post queues an event for the node's event loop. Each event occupies the processor for eventCost.
 func (n *node) post(action func()) {
-	record := n.record
+	record := n.processRecord
 	start := max(n.sim.now, n.busyUntil, n.pausedUntil)
 	n.busyUntil = start + n.eventCost
 	n.sim.at(start, func() {
-		if !n.alive || n.record != record {
+		if !n.alive || n.processRecord != record {
 			return
 		}
 		if n.pausedUntil > n.sim.now { // paused after the event was queued
@@ -184,7 +184,7 @@
 	}
 	sim := n.sim
 	n.alive, n.admitted = false, n.admitted && !n.stopping
-	n.record.EndedAt = sim.now
+	n.processRecord.EndedAt = sim.now
 	n.membership = nil
 	for _, p := range n.pendingOrder {
 		if !p.answered {
@@ -194,7 +194,7 @@
 		for _, a := range p.attempts {
 			if !a.ended {
 				a.ended = true
-				n.closeConnection(a.conn)
+				n.closeConnection(a.connection)
 				a.notifyCanceled()
 			}
 		}
@@ -207,9 +207,9 @@
 	if n.watch != nil {
 		n.watch.close()
 	}
-	record := n.record
+	record := n.processRecord
 	sim.delay(int64(sim.scenario.Nodes.DeathNotice), func() {
-		if n.record == record && !n.alive {
+		if n.processRecord == record && !n.alive {
 			n.admitted = false
 		}
 	})
@@ -217,7 +217,7 @@
 
 // receive handles a request whose last byte has arrived.
 func (n *node) receive(request *clientRequest, rec *invariant.Request) {
-	p := &pendingRequest{node: n, incarnation: n.record.Incarnation, request: request, record: rec}
+	p := &pendingRequest{node: n, incarnation: n.processRecord.Incarnation, request: request, record: rec}
 	n.pendingOrder = append(n.pendingOrder, p)
 	if len(n.pendingOrder) > 1024 && len(n.pendingOrder) > 4*len(n.requests) {
 		kept := n.pendingOrder[:0]
@@ -278,12 +278,12 @@
 	}
 	p.answered = true
 	n.release(p)
-	record := n.record
+	record := n.processRecord
 	n.sim.delay(sendDelay+n.sim.linkDelay(n.linkEnd(), n.clientEnd()), func() {
-		if n.alive && n.record == record && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
+		if n.alive && n.processRecord == record && !n.sim.links.Open(n.sim.now, n.linkEnd(), n.clientEnd()) {
 			return // the response is lost on the link
 		}
-		if n.alive && n.record == record {
+		if n.alive && n.processRecord == record {
 			n.sim.clients.answered(p, status, retryAfter)
 		} else {
 			n.sim.clients.lost(p)
@@ -298,12 +298,12 @@
 		return
 	}
 	a.ended = true
-	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !a.conn.overLimit {
-		n.putIdle(a.conn)
+	if keep && o != policy.OutcomeConnectFailed && o != policy.OutcomeNotSent && !a.connection.overLimit {
+		n.putIdle(a.connection)
 	} else {
-		n.closeConnection(a.conn)
+		n.closeConnection(a.connection)
 	}
-	if a.pending.incarnation != n.record.Incarnation || !n.alive {
+	if a.pending.incarnation != n.processRecord.Incarnation || !n.alive {
 		return
 	}
 	at, fresh := n.clock(), a.newConnection
@@ -389,7 +389,7 @@
 	}
 	for _, p := range n.pendingOrder {
 		for _, a := range p.attempts {
-			if a.endpoint != e || a.ended || a.conn == nil || e.isCutFrom(n.index) && !healed {
+			if a.endpoint != e || a.ended || a.connection == nil || e.isCutFrom(n.index) && !healed {
 				continue
 			}
 			a.record.ClosedAt = min(a.record.ClosedAt, n.sim.now)
@@ -425,8 +425,8 @@
 		return
 	}
 	a.incarnation, a.oneWay = e.incarnation, e.delayTo(n)
-	a.conn = n.acquire(e)
-	if a.conn == nil {
+	a.connection = n.acquire(e)
+	if a.connection == nil {
 		n.failToConnect(a)
 		return
 	}
@@ -463,7 +463,7 @@
 		return // the attempt never arrives; the node only sees its timeout
 	}
 	delay := a.oneWay + sim.linkDelay(n.linkEnd(), e.linkEnd())
-	a.newConnection = a.conn.isNew
+	a.newConnection = a.connection.isNew
 	if a.newConnection {
 		delay += int64(e.fleet.ConnectionWait) + 2*a.oneWay
 	}
@@ -517,9 +517,9 @@
 		}
 		return
 	}
-	record := n.record
+	record := n.processRecord
 	sim.at(when, func() {
-		if n.alive && n.record == record {
+		if n.alive && n.processRecord == record {
 			n.post(func() { n.decider.TimerFired(policy.Time(n.clock()), cookie) })
 		}
 	})
