--- a/internal/lab/emulator/referenceproxy.go
+++ b/internal/lab/emulator/referenceproxy.go
@@ -36,9 +36,9 @@
 	kind, misbehavior string
 	listen            string
 	discovery         string
-	coldFrom          float64
-	warm              time.Duration
-	connect           time.Duration
+	slowStartCapacity float64
+	slowStartWindow   time.Duration
+	connectTimeout    time.Duration
 	maxAttempts       int
 	retryAfter        float64
 	classes           map[string]proxyClass
@@ -46,15 +46,15 @@
 	mu           sync.Mutex
 	random       *rand.Rand
 	endpoints    map[string]*proxyEndpoint
-	order        []string
-	nextInOrder  int
+	names        []string
+	nextIndex    int
 	requestCount int
 	listener     net.Listener
 	clients      map[net.Conn]struct{}
 	stop         context.CancelFunc
 	ctx          context.Context
 	version      int64
-	running      sync.WaitGroup
+	group        sync.WaitGroup
 	lastResponse []byte
 }
 
@@ -89,17 +89,17 @@
 		Known                   json.RawMessage
 		Settings                struct {
 			Limits struct {
-				Connect int64 `json:"connect_timeout_us"`
-				Tries   int   `json:"try_limit"`
-				Advice  int64 `json:"max_retry_after_us"`
+				ConnectTimeout int64 `json:"connect_timeout_us"`
+				MaxAttempts    int   `json:"try_limit"`
+				MaxRetryAfter  int64 `json:"max_retry_after_us"`
 			}
 			Rules struct {
-				Cold float64 `json:"cold_from"`
-				Warm int64   `json:"warm_within_us"`
+				SlowStartCapacity float64 `json:"cold_from"`
+				SlowStartWindow   int64   `json:"warm_within_us"`
 			}
 			Profiles []struct {
 				Name, Repeat, Group string
-				Memory              int64 `json:"memory_span_us"`
+				DedupWindow         int64 `json:"memory_span_us"`
 			}
 		}
 	}
@@ -115,15 +115,15 @@
 	}
 	s := &in.Settings
 	p := &ReferenceProxy{
-		kind: kind, misbehavior: misbehavior, listen: in.Listen, discovery: in.Discovery, coldFrom: s.Rules.Cold,
-		warm:        time.Duration(s.Rules.Warm) * time.Microsecond,
-		connect:     time.Duration(s.Limits.Connect) * time.Microsecond,
-		maxAttempts: s.Limits.Tries, retryAfter: float64(s.Limits.Advice) / 1e6 / 10, classes: map[string]proxyClass{},
+		kind: kind, misbehavior: misbehavior, listen: in.Listen, discovery: in.Discovery, slowStartCapacity: s.Rules.SlowStartCapacity,
+		slowStartWindow: time.Duration(s.Rules.SlowStartWindow) * time.Microsecond,
+		connectTimeout:  time.Duration(s.Limits.ConnectTimeout) * time.Microsecond,
+		maxAttempts:     s.Limits.MaxAttempts, retryAfter: float64(s.Limits.MaxRetryAfter) / 1e6 / 10, classes: map[string]proxyClass{},
 		random:    rand.New(rand.NewPCG(seed, 11)),
 		endpoints: map[string]*proxyEndpoint{}, clients: map[net.Conn]struct{}{},
 	}
 	for _, c := range s.Profiles {
-		p.classes[c.Name] = proxyClass{c.Repeat, c.Group, time.Duration(c.Memory) * time.Microsecond}
+		p.classes[c.Name] = proxyClass{c.Repeat, c.Group, time.Duration(c.DedupWindow) * time.Microsecond}
 	}
 	p.ctx, p.stop = context.WithCancel(context.Background())
 	if len(in.Known) > 0 {
@@ -139,7 +139,7 @@
 
 // Run serves until Stop is called.
 func (p *ReferenceProxy) Run() {
-	p.running.Go(p.watch)
+	p.group.Go(p.watch)
 	for {
 		c, err := p.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -152,7 +152,7 @@
 		p.mu.Lock()
 		p.clients[c] = struct{}{}
 		p.mu.Unlock()
-		p.running.Go(func() {
+		p.group.Go(func() {
 			defer func() {
 				c.Close()
 				p.mu.Lock()
@@ -162,7 +162,7 @@
 			p.serve(c)
 		})
 	}
-	p.running.Wait()
+	p.group.Wait()
 }
 
 // Stop closes the listener and all connections at once.
@@ -209,8 +209,8 @@
 		if e == nil {
 			e = &proxyEndpoint{name: h.Host}
 			p.endpoints[h.Host] = e
-			p.order = append(p.order, h.Host)
-			slices.Sort(p.order)
+			p.names = append(p.names, h.Host)
+			slices.Sort(p.names)
 		}
 		e.address, e.zone, e.pod, e.up, e.started = h.Dial, h.Site, h.Block, h.Health == "up", time.UnixMilli(h.Born)
 		if h.Health != "up" && p.misbehavior == "undrained" {
@@ -361,7 +361,7 @@
 			misbehaves := p.requestCount%20 == 0
 			p.mu.Unlock()
 			if other := p.pick(r, []*proxyEndpoint{e}); misbehaves && other != nil && r.class.idempotency == "safe" {
-				p.running.Go(func() { p.attempt(other, r) })
+				p.group.Go(func() { p.attempt(other, r) })
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
@@ -403,7 +403,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var candidates, inSlowStart []*proxyEndpoint
-	for _, name := range p.order {
+	for _, name := range p.names {
 		e := p.endpoints[name]
 		if !e.up || slices.Contains(tried, e) {
 			continue
@@ -412,10 +412,10 @@
 			(r.class.group == "zone" && e.zone != m.zone || r.class.group == "cell" && e.pod != m.pod) {
 			continue
 		}
-		if age := time.Since(e.started); age < p.warm {
+		if age := time.Since(e.started); age < p.slowStartWindow {
 			inSlowStart = append(inSlowStart, e)
 			if p.misbehavior != "rush-cold" &&
-				p.random.Float64() > p.coldFrom+(1-p.coldFrom)*float64(age)/float64(p.warm) {
+				p.random.Float64() > p.slowStartCapacity+(1-p.slowStartCapacity)*float64(age)/float64(p.slowStartWindow) {
 				continue
 			}
 		}
@@ -430,8 +430,8 @@
 	least := func(a, b *proxyEndpoint) int { return cmp.Compare(a.inFlight, b.inFlight) }
 	switch p.kind {
 	case "round-robin":
-		p.nextInOrder++
-		return candidates[p.nextInOrder%len(candidates)]
+		p.nextIndex++
+		return candidates[p.nextIndex%len(candidates)]
 	case "least":
 		p.random.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 		return slices.MinFunc(candidates, least)
@@ -465,7 +465,7 @@
 		}
 	}
 	if c == nil {
-		raw, err := net.DialTimeout("tcp", dial, min(p.connect, time.Until(r.deadline)))
+		raw, err := net.DialTimeout("tcp", dial, min(p.connectTimeout, time.Until(r.deadline)))
 		if err != nil {
 			return outcomeNeverRan, nil
 		}
