--- a/internal/node/upload.go
+++ b/internal/node/upload.go
@@ -109,8 +109,8 @@
 	return u.complete.Load()
 }
 
-// failure returns why an incomplete, stopped upload has no response: errBodyConsumed if the client is at fault, else the
-// error of the write, or else readErr, the error of reading the response.
+// failure returns why an incomplete, stopped upload has no response: errBodyConsumed if the client is at fault, else
+// the error of the write, or else readErr, the error of reading the response.
 func (u *upload) failure(request *pendingRequest, readErr error) error {
 	clientErr := request.source.failure()
 	if clientErr != nil && !errors.Is(clientErr, errBodyNotNeeded) {
