--- a/internal/endpointgossip/exchange.go
+++ b/internal/endpointgossip/exchange.go
@@ -18,14 +18,15 @@
 // Which of two lists is used:
 //
 //   - An update of the node's own watch ends the use of gossiped lists.
-//   - A watched list takes precedence over a restored one.
+//   - A watched list replaces a restored one of a lower version.
 //   - Of two watched lists, or two restored ones, the one with the higher version is used. Two lists of the same
 //     version, or a watched list and a restored one with a higher version, are merged cautiously: the result has all
-//     endpoints of both, and an endpoint is draining if either list says so and has the later of the two start times.
-//     So all nodes get the same list in whatever order responses arrive, unless lists of the same version differ so
-//     much that merged they leave less than half of the endpoints active.
+//     endpoints of both. An endpoint on both is draining if either list says so. Its start time is the later of the
+//     two, or that of the watched list if the other is restored. So all nodes get the same list in whatever order
+//     responses arrive, unless lists of the same version differ so much that merged they leave less than half of the
+//     endpoints active.
 //   - An endpoint of the current list that is not on a newer list counts as draining, not as removed.
-//   - A list that leaves less than half of the endpoints active that are active now needs two witnesses.
+//   - A list that leaves less than half of the currently active endpoints active needs two witnesses.
 //   - A list that was not confirmed within FreshForNs is trusted for which endpoints exist, but not for when they
 //     started: endpoints that are new in it count as just started. Its age is counted from when the request was sent.
 //
@@ -55,7 +56,7 @@
 	maxRequestsPerTick  = 4
 	maxResponsesPerTick = 24
 	maxBackoffTicks     = 10 // maximum delay between requests
-	watchGraceTicks     = 5  // for which a new watch may be without an event before the list that it resumed is used
+	watchGraceTicks     = 5  // without an event, after which a watch that resumed from a list is taken to have no changes
 	randomStream        = 11 // second seed of the random number generator
 )
 
--- a/internal/endpointgossip/exchange_test.go
+++ b/internal/endpointgossip/exchange_test.go
@@ -28,7 +28,7 @@
 	index    int
 	exchange *Exchange
 	watchUp  bool                // the node's own watch is up
-	used     map[string]Endpoint // endpoints in use by name
+	used     map[string]Endpoint // endpoints in use, by name
 	received int
 	sent     int // messages in this tick
 }
@@ -227,7 +227,7 @@
 		network.step()
 	}
 	if network.nodes[1].exchange.counters.Requests != before || network.nodes[1].activeCount() != 8 {
-		t.Error("a node whose watch is up sends requests or uses a gossiped list")
+		t.Error("a node whose watch is up sent requests or used a gossiped list, want neither")
 	}
 	// While the watch is down again, gossiped lists are used. When it resumes without an event, its own list is used.
 	network.nodes[1].watchUp = false
@@ -455,7 +455,7 @@
 	restarted := New(1, network.nodes[1], network.now, 0, nil, false)
 	for _, msg := range captured {
 		if restarted.Receive(network.now, 0, msg.encoded) != nil {
-			t.Error("accepted")
+			t.Error("a response to a request of an earlier run was accepted")
 		}
 	}
 	if len(captured) == 0 || restarted.counters.Invalid != int64(len(captured)) {
--- a/internal/endpointgossip/list.go
+++ b/internal/endpointgossip/list.go
@@ -80,7 +80,7 @@
 	return l.endpoints
 }
 
-// matches reports whether the list has a version and digest.
+// matches reports whether the list has the given version and digest.
 func (l *list) matches(version int64, digest uint64) bool {
 	return l.version == version && l.digest == digest
 }
--- a/internal/endpointgossip/message.go
+++ b/internal/endpointgossip/message.go
@@ -22,7 +22,7 @@
 	Digest      uint64     `cbor:"3,keyasint"`
 	WantPages   []int      `cbor:"4,keyasint,omitempty"`
 	Pages       int        `cbor:"5,keyasint,omitempty"` // number of pages of the responder's list
-	Page        int        `cbor:"6,keyasint,omitempty"` // number of the page that Endpoints are, or headOnly
+	Page        int        `cbor:"6,keyasint,omitempty"` // number of the page in Endpoints, or headOnly
 	Endpoints   []Endpoint `cbor:"7,keyasint,omitempty"`
 	AgeNs       int64      `cbor:"8,keyasint,omitempty"` // since the list was last confirmed
 	WatchUp     bool       `cbor:"9,keyasint,omitempty"` // the responder's own watch is up
--- a/internal/endpointgossip/request.go
+++ b/internal/endpointgossip/request.go
@@ -19,8 +19,8 @@
 	e.nextRequestTick = e.tick + 1 + e.random.Int64N(e.backoffTicks)
 }
 
-// request sends a request for pages of the list that is being transferred, or, if pages is nil, for the list that the
-// node has.
+// request sends a request for pages of the list that is being transferred, or, if pages is nil, for a better list than
+// the node has. It sends nothing beyond maxRequestsPerTick.
 func (e *Exchange) request(to int, pages []int) {
 	e.requestsInTick++
 	if e.requestsInTick > maxRequestsPerTick {
--- a/internal/endpointgossip/transfer.go
+++ b/internal/endpointgossip/transfer.go
@@ -59,7 +59,7 @@
 	}
 	t := e.transfer
 	if !t.matches(response) {
-		return nil // of another list, which is requested after this transfer
+		return nil // a response for another list, which is requested after this transfer
 	}
 	t.addConfirmation(from, response)
 	if response.Page != headOnly && t.pages[response.Page] == nil {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestDatagramsAreBoundedInNumberAndLength checks the limits at a node that has thousands of updates to gossip and that
-// fifty nodes ping in every tick.
+// TestDatagramsAreBoundedInNumberAndLength checks the limits at a node that has thousands of updates to gossip and is
+// pinged by fifty nodes in every tick.
 func TestDatagramsAreBoundedInNumberAndLength(t *testing.T) {
 	transport := &recordingTransport{}
 	m := newTestMembers(t, "n0", 2000, transport)
@@ -137,8 +137,8 @@
 }
 
 // TestPayloadDeliveryAndReachableNodes sends payloads from a node with many updates: one of the maximum length, one
-// that is too long and one to an unknown node. The receiver gets the first, once with and once without a
-// ReceivePayload.
+// that is too long and one to an unknown node. The receiver gets the first, before and after its
+// ReceivePayload is set.
 func TestPayloadDeliveryAndReachableNodes(t *testing.T) {
 	transport := &recordingTransport{}
 	a := newTestMembers(t, "n0", 300, transport)
@@ -210,7 +210,7 @@
 		t.Errorf("a sends nothing until tick %d, b until tick %d; want a to report the conflict and stop sending, and b to go on", a.quietUntil, b.quietUntil)
 	}
 	if a.Summary(testStartNs).Reliable {
-		t.Error("the summary of a process in a name conflict is reliable")
+		t.Error("got a reliable summary from a process in a name conflict, want an unreliable one")
 	}
 }
 
@@ -301,7 +301,7 @@
 			t.Errorf("phase %d: got %d suspicions and %d stalls, want 0 and 1", phase, m.counters.Suspicions, m.counters.Stalls)
 		}
 		if runTicks(m, now, 4*TicksPerPeriod); m.counters.Suspicions == 0 {
-			t.Error("no suspicion is raised long after the stall")
+			t.Error("got no suspicion long after the stall, want at least one")
 		}
 	}
 }
--- a/internal/members/receive.go
+++ b/internal/members/receive.go
@@ -65,7 +65,7 @@
 }
 
 // notifyStaleSender responds to a message of an earlier run of a node, or of another process of its name. It sends only
-// this node's state for the sender, so that the sender can refute it.
+// the state that this node has for the sender, so that the sender can refute it.
 func (m *Members) notifyStaleSender(from int) {
 	if !m.isQuiet() && m.allowResponse() {
 		m.send(from, &message{Kind: gossip, Updates: []update{m.updateOf(from)}})
--- a/internal/members/state.go
+++ b/internal/members/state.go
@@ -28,7 +28,8 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// maxIncarnation is the limit from which on an incarnation is rejected, as there must be room above it for refutations.
+// maxIncarnation is the exclusive upper limit of both parts of an incarnation in an update. It leaves room above for
+// refutations.
 const maxIncarnation = 1 << 53
 
 // peer is this node's record of another node.
--- a/internal/nodestate/disk_test.go
+++ b/internal/nodestate/disk_test.go
@@ -46,7 +46,7 @@
 	}
 	logs, err := filepath.Glob(filepath.Join(dir, "seg-*.log"))
 	if err != nil || len(logs) != 1 {
-		t.Fatal(logs, err)
+		t.Fatalf("got log files %v, error %v; want one file", logs, err)
 	}
 	log, err := os.ReadFile(logs[0])
 	if err != nil {
--- a/internal/nodestate/state.go
+++ b/internal/nodestate/state.go
@@ -118,7 +118,7 @@
 func (s *State) EndpointCount() int { return len(s.endpoints) }
 
 // MemberStartsMs returns the start times of other nodes by name, in Unix milliseconds of their clocks. They are sent to
-// these nodes, which can so detect that their state is an outdated copy.
+// these nodes, so that a node can detect that its persisted state is an outdated copy.
 func (s *State) MemberStartsMs() map[string]uint64 { return s.memberStarts }
 
 // RecordStart records a start of the node.
--- a/internal/sockstate/sockstate_test.go
+++ b/internal/sockstate/sockstate_test.go
@@ -85,7 +85,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if n, err := Peek(own); PeerClosed(own) != c.wantClosed || n != c.n || !errors.Is(err, c.err) {
-				t.Errorf("got PeerClosed %t, Peek %d, %v", PeerClosed(own), n, err)
+				t.Errorf("got PeerClosed %t, Peek %d, %v; want %t, %d, %v", PeerClosed(own), n, err, c.wantClosed, c.n, c.err)
 			}
 			own.Close()
 			if !PeerClosed(own) {
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -64,7 +64,7 @@
 			for range b.N {
 				s, recovery, err := Open(dir, Options{ManualCompaction: true})
 				if err != nil || recovery.Keys != keys {
-					b.Fatal(err, recovery)
+					b.Fatalf("got recovery %+v, error %v; want %d keys", recovery, err, keys)
 				}
 				b.StopTimer()
 				runtime.GC()
--- a/internal/store/compaction.go
+++ b/internal/store/compaction.go
@@ -15,7 +15,7 @@
 const (
 	minGarbageBytes     = 64 << 10  // minimum garbage for a compaction
 	compactBlockBytes   = 256 << 10 // size of a write
-	compactBurstDivisor = 8         // burst of the rate limiter, as a fraction of a second's bytes
+	compactBurstDivisor = 8         // a second's bytes divided by the burst of the rate limiter; see newPacedWriter
 )
 
 // needsCompaction reports whether the log has enough garbage for a compaction. The caller holds the lock.
@@ -31,8 +31,8 @@
 	return garbage > max(s.options.MaxGarbageRatio*float64(total), minGarbageBytes)
 }
 
-// Compact compacts all closed segments now, unless a compaction is in progress already. Reads and writes are not
-// blocked. Errors wrap ErrReadOnly or ErrClosed, or are those of the file system.
+// Compact compacts all closed segments now. If a compaction is in progress already, it returns nil at once. Reads and
+// writes are not blocked. Errors wrap ErrReadOnly or ErrClosed, or are those of the file system.
 func (s *Store) Compact() error {
 	s.mu.Lock()
 	if err := s.checkWritable(); err != nil || s.compacting {
--- a/internal/store/format.go
+++ b/internal/store/format.go
@@ -46,7 +46,8 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, crcTable))
 }
 
-// decodeHeader decodes the header at the beginning of b. For a truncated header it returns length 0 and no error.
+// decodeHeader decodes the header at the beginning of b. If the header is truncated, or its count exceeds maxReplaced,
+// it returns length 0 and no error.
 func decodeHeader(b []byte) (header, error) {
 	if !strings.HasPrefix(magic, string(b[:min(len(b), len(magic))])) {
 		return header{}, errNotSegment
--- a/internal/store/scan.go
+++ b/internal/store/scan.go
@@ -19,7 +19,8 @@
 
 // scan decodes the content b of the segment in a file, and calls visit for each frame with its offset. Data that can't
 // be decoded counts as the torn write of a crash if this is the last segment and no complete batch follows the data.
-// Otherwise scan returns a *CorruptionError.
+// Otherwise, and for a complete header that is invalid, scan returns a *CorruptionError, or an error that wraps
+// ErrNewerVersion.
 func scan(file string, b []byte, last bool, visit func(offset int64, f frame)) (scanResult, error) {
 	result := scanResult{size: int64(len(b))}
 	segmentHeader, err := decodeHeader(b)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -71,8 +71,8 @@
 }
 
 // Apply applies a batch and returns once it is durable. Concurrent batches share a sync. If Apply returns an error, the
-// batch was not applied; but after a failed sync this is unknown until the store is opened again, and all later writes
-// return ErrReadOnly.
+// batch was not applied; but after a failed sync, or a partial write that could not be truncated, this is unknown until
+// the store is opened again, and the errors of all later writes wrap ErrReadOnly.
 func (s *Store) Apply(b *Batch) error {
 	if len(b.ops) == 0 {
 		return nil
--- a/internal/subscription/subscription.go
+++ b/internal/subscription/subscription.go
@@ -1,7 +1,7 @@
 // Package subscription provides a node with its endpoint list from relays, and from the node's own watch of discovery
 // when the relays fail. It combines a relay client, a subscriber and the selection of the source (endpointsource); the
 // node decodes and applies entries in callbacks. A failure in this package loses updates of the relays but never
-// affects requests, because all work is done in two goroutines of its own.
+// affects requests: the relay client and the selection of the source run in goroutines of their own.
 package subscription
 
 import (
--- a/internal/subscription/subscription_test.go
+++ b/internal/subscription/subscription_test.go
@@ -132,8 +132,9 @@
 	return decoded, nil
 }
 
-// TestPanicInRelayUpdateFallsBackToDiscovery checks that a panic while a record of a relay is decoded stops only the
-// updates from relays: the node gets its list from discovery instead. A record that can't be decoded is skipped before.
+// TestPanicInRelayUpdateFallsBackToDiscovery checks that a record that can't be decoded is skipped, and that a panic
+// while a record of a relay is decoded stops only the updates from relays: the node gets its list from discovery
+// instead.
 func TestPanicInRelayUpdateFallsBackToDiscovery(t *testing.T) {
 	origin := newTestOrigin(t)
 	origin.putHosts("good")
