--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -137,8 +137,8 @@
 }
 
 // TestPayloadDeliveryAndReachableNodes sends payloads from a node with many updates: one of the maximum length, one
-// that is too long and one to an unknown node. The receiver gets the first, before and after its
-// ReceivePayload is set.
+// that is too long and one to an unknown node. The receiver gets the first, before and after its ReceivePayload
+// is set.
 func TestPayloadDeliveryAndReachableNodes(t *testing.T) {
 	transport := &recordingTransport{}
 	a := newTestMembers(t, "n0", 300, transport)
--- a/internal/members/probe.go
+++ b/internal/members/probe.go
@@ -23,8 +23,8 @@
 	nackAfter            = 3
 	indirectProbeTimeout = TicksPerPeriod
 
-	// reconnectsPerPeriod is the maximum number of nodes that reconnect pings in a protocol period. It stops after the
-	// first dead or left node, so that only unknown nodes are pinged several at a time.
+	// reconnectsPerPeriod is the maximum number of nodes that reconnect pings in a protocol period. reconnect stops after
+	// the first dead or left node, so that only unknown nodes are pinged several at a time.
 	reconnectsPerPeriod = 3
 )
 
