--- a/cmd/fawnglade/deploy_test.go
+++ b/cmd/fawnglade/deploy_test.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// The platform's acceptance test loads a shared library into the node that replaces its clock and sockets. A statically
-// linked node would ignore the library: it would run in real time, on sockets that receive no requests. So the build
-// command must link against the C library, and must be the same in all files.
+// The platform's acceptance test loads a shared library into the node, which replaces the node's clock and sockets. A
+// statically linked node would ignore the library: it would run in real time, on sockets that receive no requests. So
+// the build command must link against the C library, and must be the same in all files.
 func TestBuildCommandIsTheSameEverywhere(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
--- a/cmd/fawnglade/migrate.go
+++ b/cmd/fawnglade/migrate.go
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// migrate reads the old configuration and returns the migrated one. It is an error if a node would not accept both; the
-// error names the old file.
+// migrate reads the old configuration and returns the migrated one. If a node would not accept either of them, it
+// returns an error that names the old file.
 func (o *migrateOptions) migrate() (*migratedConfig, error) {
 	text, err := os.ReadFile(o.configPath)
 	if err != nil {
@@ -222,7 +222,8 @@
 	}
 }
 
-// dropObsolete removes settings that are no longer supported.
+// dropObsolete removes or turns off settings that are no longer supported, and adds them to migrated.dropped. The
+// report field inflight stays in the list of fields, where a node ignores it.
 func dropObsolete(settings map[string]any, migrated *migratedConfig) {
 	if goal, ok := settings["goal"].(map[string]any); ok {
 		migrated.drop(goal, "settings.goal.", "tail", "a tolerated fraction of missed objectives is no longer supported")
--- a/cmd/fawnglade/migrate_test.go
+++ b/cmd/fawnglade/migrate_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("got the following file, want the settings given by the flags, and unknown settings unchanged:\n%s", text)
 	}
 	if _, _, err := runMigrate(arguments...); err == nil {
-		t.Error("got no error for an existing output file")
+		t.Error("an existing output file: got no error, want one")
 	}
 	if afterSecondRun, _ := os.ReadFile(newPath); string(afterSecondRun) != string(text) {
 		t.Error("an existing output file was changed")
@@ -131,6 +131,6 @@
 		}
 	}
 	if _, _, err := runMigrate("--config", writeOldConfig(t, oldConfig), "--nodes", "3"); err == nil {
-		t.Error("got no error without --out and --dry-run")
+		t.Error("without --out and --dry-run: got no error, want one")
 	}
 }
--- a/cmd/fawnglade/relay_test.go
+++ b/cmd/fawnglade/relay_test.go
@@ -20,7 +20,7 @@
 )
 
 // startRelayProcess starts an origin or relay and returns its address. log waits until the process has closed its error
-// output, and returns that.
+// output, and returns that output.
 func startRelayProcess(t *testing.T, text string) (c *exec.Cmd, address string, log func() string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
--- a/cmd/fawnglade/signals_test.go
+++ b/cmd/fawnglade/signals_test.go
@@ -15,7 +15,8 @@
 )
 
 // Signals that arrive during the start, while the process waits for the handover of an old process that sends nothing,
-// must be handled after the start. They must not kill the process, since the kernel has already accepted a request.
+// must be handled after the start. They must not kill the process, since the kernel has already accepted a connection
+// with a request.
 func TestSignalsDuringStart(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"a single SIGTERM":                       {syscall.SIGTERM},
--- a/internal/classdelay/classdelay.go
+++ b/internal/classdelay/classdelay.go
@@ -6,14 +6,14 @@
 import "math"
 
 const (
-	// samplesKept is the number of recent responses that are compared. All of them must be late before a delay is
-	// reported, since a single late response may be due to its endpoint.
+	// samplesKept is the number of recent samples (responses and overdue attempts) that are compared. All of them must
+	// be late before a delay is reported, since a single late response may be due to its endpoint.
 	samplesKept = 3
-	// freshWindowNanos is the time after its last response during which a group is compared with others.
+	// freshWindowNanos is the time after its last sample during which other groups are compared with a group.
 	freshWindowNanos = int64(4e9)
 	// minDelayFraction is the fraction of the shortest latency objective up to which a delay is ignored.
 	minDelayFraction = 0.25
-	// latencyWindow is the number of responses over which a group's unloaded latency is averaged.
+	// latencyWindow is the number of samples over which a group's unloaded latency is averaged.
 	latencyWindow = 8
 )
 
@@ -66,9 +66,9 @@
 	}
 }
 
-// isComparable reports whether other groups are compared with this one: it had a response within freshWindowNanos, or
-// its requests are given up. The second condition keeps a group that is on time but not admitted in the comparison;
-// otherwise only late groups would be left to compare with.
+// isComparable reports whether other groups are compared with this one: its last sample is less than
+// freshWindowNanos old, or its requests are given up. The second condition keeps a group that is on time but not
+// admitted in the comparison; otherwise only late groups would be left to compare with.
 func (g *group) isComparable(now int64) bool {
 	return now-g.lastSampleAt < freshWindowNanos || g.givenUpSinceSample >= samplesKept
 }
@@ -131,8 +131,8 @@
 	return delays
 }
 
-// Delay returns how much later the request is expected to be than others at any endpoint. It is infinite while all
-// samples of a group are overdue attempts.
+// Delay returns how much later, in nanoseconds, the request is expected to be than others at any endpoint. It is
+// infinite while all samples of its class or tenant are overdue attempts, and those of another class or tenant are not.
 func (c RequestGroups) Delay(now int64) float64 {
 	delays := c.delays(now)
 	return delays[byClass] + delays[byTenant]
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -78,9 +78,9 @@
 type event struct {
 	callID int
 	kind   eventKind
-	conn   net.Conn      // connected
-	body   *bufio.Reader // bodyStarted
-	err    error         // connectFailed, callFailed
+	conn   net.Conn      // set for connected
+	body   *bufio.Reader // set for bodyStarted
+	err    error         // set for connectFailed and callFailed
 }
 
 // opening is the state of one call of Open.
--- a/internal/discovery/pace_test.go
+++ b/internal/discovery/pace_test.go
@@ -227,6 +227,6 @@
 		t.Errorf("got the next call due after %d ms, want 4200", (p.Due()-now)/ms)
 	}
 	if p.HeadReceived(now+2*second, 3200*ms); p.Due() != now+4200*ms {
-		t.Error("a second head: got the next call later, want it unchanged")
+		t.Error("a second head: got another time for the next call, want it unchanged")
 	}
 }
--- a/internal/endpointlist/endpointlist.go
+++ b/internal/endpointlist/endpointlist.go
@@ -32,8 +32,8 @@
 
 const (
 	defaultMemory          = 1 << 30
-	lineMemoryDivisor      = 4 // of the memory; a line is not held in memory, but the names in it are
-	valueLineDivisor       = 64
+	lineMemoryDivisor      = 4        // of the memory; a line is not held in memory, but the names in it are
+	valueLineDivisor       = 64       // of the line limit
 	minValueBytes          = 64 << 10 // also the minimum for a line
 	endpointsMemoryDivisor = 2        // of the memory; at 0.6 of it in use, garbage collection would run all the time
 
--- a/internal/endpointlist/reader_test.go
+++ b/internal/endpointlist/reader_test.go
@@ -122,7 +122,7 @@
 	r := NewReader(strings.NewReader("\n\n"+text+"\n\n\n"+testLines[3]+"\n"), LimitsFor(0))
 	for i, version := range []int64{41, 3} {
 		if got, err := collect(r.Next); err != nil || got.Update.Version != version {
-			t.Errorf("line %d: %+v, %v", i, got, err)
+			t.Errorf("line %d: got %+v, error %v; want the version of that line and no error", i, got, err)
 		}
 	}
 	if _, err := collect(r.Next); !errors.Is(err, io.EOF) {
@@ -140,7 +140,7 @@
 	r := NewReader(io.MultiReader(strings.NewReader(testLines[0]), emptyLines, strings.NewReader(secondLine)), Limits{ValueBytes: 64 << 10, LineBytes: 64 << 10, Endpoints: 10})
 	for i, version := range []int64{41, 7} {
 		if got, err := collect(r.Next); err != nil || got.Update.Version != version {
-			t.Errorf("line %d: %+v, %v", i, got, err)
+			t.Errorf("line %d: got %+v, error %v; want the version of that line and no error", i, got, err)
 		}
 	}
 	runtime.ReadMemStats(&after)
@@ -150,7 +150,7 @@
 	for cut := range len(secondLine) {
 		r := NewReader(io.MultiReader(strings.NewReader(testLines[0]+"\n"+secondLine[:cut]), strings.NewReader(secondLine[cut:])), LimitsFor(0))
 		if _, err := collect(r.Next); err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("first line, before a second one split at byte %d: got error %v, want none", cut, err)
 		}
 		if got, err := collect(r.Next); err != nil || len(got.Entries) != 2 || got.Entries[0].Name != "a  b" || got.Entries[1].Name != " " {
 			t.Fatalf("second line split at byte %d: got %+v, error %v; want two entries with their blanks", cut, got, err)
--- a/internal/endpointsource/selector.go
+++ b/internal/endpointsource/selector.go
@@ -31,9 +31,9 @@
 
 // New returns a selector without a list. nowNs is the current time of the clock that all later calls use. Relays become
 // stale when their list was last current staleAfterNs ago. restoredVersion is the version of the list that the node
-// restored from before its start, which a list with no higher version does not override. Since the version that relays
-// report may briefly lag behind their list, the relays' list is returned once more as a complete one when its version
-// first exceeds restoredVersion.
+// restored at its start, 0 for none. The node does not treat a list with no higher version as newer than the restored
+// one. Since the version that relays report may briefly lag behind their list, the relays' list is returned once more
+// as a complete one when its version first exceeds restoredVersion.
 func New[V any](nowNs, staleAfterNs, restoredVersion int64) *Selector[V] {
 	s := &Selector[V]{
 		staleAfterNs:    staleAfterNs,
--- a/internal/estimates/class.go
+++ b/internal/estimates/class.go
@@ -5,8 +5,8 @@
 	learningRate = 1.0 / 12
 
 	// spreadQuantile is the quantile of the ratio of latency to predicted latency that LatencySpread follows, bounded
-	// by minSpread and maxSpread. Heavy requests without a cost hint are late at any endpoint, so their latency says
-	// nothing about queueing.
+	// by minSpread and maxSpread. The spread allows for heavy requests without a cost hint: they are late at any
+	// endpoint, so their latency says nothing about queueing.
 	spreadQuantile     = 0.9
 	minSpread          = 0.5
 	maxSpread          = 5
@@ -27,8 +27,8 @@
 	// SuccessRate is the fraction of recent requests that were answered; RequestCount is their decayed count.
 	SuccessRate  float64 `json:"Fares"`
 	RequestCount float64 `json:"Asked"`
-	// PriorityFactor is the fraction, 0 to 1, of its time that the class keeps while requests are given up: its
-	// priority weight over the highest of all classes.
+	// PriorityFactor is the fraction, 0 to 1, of its latency budget that the class keeps while requests are given up.
+	// It follows from the class's priority weight relative to the highest of all classes.
 	PriorityFactor float64 `json:"Due"`
 	// AnsweredCount and GivenUpCount count requests of the current second; WorkSamples counts all responses.
 	AnsweredCount int `json:"Taken"`
--- a/internal/features/members.go
+++ b/internal/features/members.go
@@ -46,7 +46,7 @@
 type Node struct {
 	// Name is the name in the node's configuration.
 	Name string `toml:"name"`
-	// Address is the address and port by which this node reaches it.
+	// Address is the address and port at which this node reaches it.
 	Address string `toml:"address"`
 }
 
--- a/internal/gossip/golden_test.go
+++ b/internal/gossip/golden_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%s: decoded: got %+v, sent at %d, error %v; want the original message and time", name, decoded, sentAt, err)
 		}
 		if !bytes.Equal(Encode(decoded, sentAt), encoded) {
-			t.Errorf("%s: encoding the decoded message gives other bytes", name)
+			t.Errorf("%s: encoding the decoded message: got other bytes, want the original ones", name)
 		}
 	}
 }
--- a/internal/idletimeout/idletimeout.go
+++ b/internal/idletimeout/idletimeout.go
@@ -25,7 +25,7 @@
 	// Limit is the idle time in nanoseconds beyond which a connection must not be reused.
 	Limit           int64
 	lastDeadIdle    int64   // idle time of the last dead connection
-	consecutiveDead int     // dead connections since one was alive after a similar idle time
+	consecutiveDead int     // dead connections since one was alive after a similar or longer idle time
 	confirmations   float64 // decayed count, from this node and others
 }
 
--- a/internal/keyfreq/keyfreq.go
+++ b/internal/keyfreq/keyfreq.go
@@ -39,7 +39,8 @@
 	if known || len(c.counts) < maxKeys {
 		c.counts[hash] = before + 1
 	}
-	// One request says little about a key's fraction of requests, so it counts by the fraction of keys that repeat.
+	// One request says little about a key's fraction of requests, so the current one counts as repeatFraction rather
+	// than as 1.
 	return hash, 1 + int(affinityFactor*float64(endpoints)*(before+c.repeatFraction)/c.total)
 }
 
--- a/internal/settings/names.go
+++ b/internal/settings/names.go
@@ -91,7 +91,7 @@
 	if zones := byPath["zones"]; zones != "" {
 		s.Zones = strings.Split(zones, ",")
 	}
-	// These are optional here, since a simulator opens connections itself; a node checks that they are set.
+	// All three are optional here. A node requires the first two; a simulator opens connections itself.
 	s.ConnectTimeout = v.durationOrZero("limits.connect_timeout_us")
 	s.IdleTimeout = v.durationOrZero("limits.idle_close_us")
 	s.DrainGrace = v.durationOrZero("rules.stop_sending_within_us")
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -97,7 +97,7 @@
 func TestGoldenReplies(t *testing.T) {
 	out, errorText, code := serve(simulatorInput(53))
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, errorText)
+		t.Fatalf("got exit code %d, want 0; error output: %s", code, errorText)
 	}
 	for _, action := range []string{"ISSUE", "RECALL", "BUSY", "FINISH_ERROR", "AFTER", "OBSERVE", "ANNOUNCE", "TEST", "RELEASE"} {
 		if !strings.Contains(out, action+" ") {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -34,7 +34,7 @@
 	now           policy.Time
 	line          int // number of the last line read, for error messages
 
-	ignoredGossip int    // gossip messages that were invalid, old or repeated
+	ignoredGossip int    // gossip messages that gossip.Inbox rejected
 	actionLine    []byte // buffer for the action being written
 	longLine      []byte // buffer for a line that exceeds the input buffer
 }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -21,7 +21,7 @@
 	for now := int64(0); now < 1000; now++ {
 		for id, due := q.PopDue(now); due; id, due = q.PopDue(now) {
 			if int64(id) != now {
-				t.Fatalf("at %d: got a timer set for %d", now, id)
+				t.Fatalf("at %d: got a timer that is due at %d, want one that is due now", now, id)
 			}
 			popped = append(popped, id)
 		}
@@ -31,6 +31,6 @@
 	}
 	slices.Sort(added)
 	if !slices.Equal(added, popped) {
-		t.Error("the timers popped differ from the timers added")
+		t.Error("got other timers from PopDue than were added, want the same")
 	}
 }
