--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -23,11 +23,13 @@
 // attempt sends a request to one upstream. The event loop creates it, a worker runs it, and the event loop receives its
 // one result. Any goroutine may cancel it.
 type attempt struct {
-	request       *pendingRequest
-	number        int // index among the request's attempts, from 0
-	target        upstreamTarget
-	sentAt        policy.Time
-	deadline      policy.Time // of the response; if the request body is streamed, only of the connection
+	request *pendingRequest
+	number  int // index among the request's attempts, from 0
+	target  upstreamTarget
+	sentAt  policy.Time
+	// deadline is that of the response. If the request body is streamed, it limits opening the connection, and the time
+	// left after that limits the wait for the response after the last byte.
+	deadline      policy.Time
 	dedupDeadline policy.Time // the request must not be written after this; 0: no limit
 	notExecuted   bool        // as proved by its result; used by the event loop only
 
@@ -85,7 +87,7 @@
 	response      response // status 0: nothing to forward to the client
 	endedAt       policy.Time
 	newConnection bool          // the connection was opened for this attempt
-	uploadTime    time.Duration // how long the attempt was still receiving the request body
+	uploadTime    time.Duration // time to write a streamed request completely; 0: not streamed, or not complete
 	conn          *upstreamConn // connection of a response that is still streamed; nil: none
 	closeAfter    bool          // conn can't be reused after the response
 	clientGone    bool          // the request was not written because its client disconnected
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -8,14 +8,15 @@
 )
 
 // Applies the endpoint list to the balancer and the connection pools: in chunks, with the operators' overrides applied.
-// Connections to endpoints that are no longer used are closed.
+// Idle connections to endpoints that no longer get requests are closed.
+
 const (
 	// minListChunkEntries is the minimum number of entries per event. Each event costs a pass over all endpoints, so a
 	// long list is split into at most maxListChunks.
 	minListChunkEntries = 512
 	maxListChunks       = 32
-	// maxRetainedRemoved bounds the number of known endpoints up to which removed ones are retained because they may
-	// still serve.
+	// maxRetainedRemoved is the number of known endpoints, active ones included, beyond which removed endpoints are not
+	// retained even where they may still serve.
 	maxRetainedRemoved = 8192
 )
 
--- a/internal/node/endpointwatch.go
+++ b/internal/node/endpointwatch.go
@@ -23,8 +23,8 @@
 
 const (
 	listConnectTimeout = time.Second
-	// listParallelCallDelay is how long a call waits for its response before a second call is made in parallel. The first
-	// is not closed: discovery answers calls in order, so a new call would go to the end of its queue.
+	// listParallelCallDelay is how long a call waits for its response before a second call is made in parallel. The
+	// first is not closed: discovery answers calls in order, so a new call would go to the end of its queue.
 	listParallelCallDelay = 3 * time.Second
 	// listSilenceTimeout closes a watch that receives nothing. Discovery sends an empty line every 2 s while the list
 	// does not change.
@@ -58,7 +58,7 @@
 	retryInterval      time.Duration
 	oversizedBackoff   time.Duration // last backoff for a list that exceeds the limits; 0: the last list did not
 	reopensSilentWatch bool          // whether the next call reopens a silent watch
-	firstEvent         chan struct{} // closed after the first watch event or the first failed call
+	firstEvent         chan struct{} // closed once a list was applied (of discovery or relays) or a watch failed
 	firstEventOnce     sync.Once
 	lastReceivedAt     atomic.Int64 // when the open watch last received data, Unix nanoseconds; 0: none is open
 
@@ -130,7 +130,7 @@
 	}
 }
 
-// markFirstEvent unblocks a start that waits for the first watch event.
+// markFirstEvent unblocks a start that waits for the first list or failure.
 func (w *endpointWatch) markFirstEvent() { w.firstEventOnce.Do(func() { close(w.firstEvent) }) }
 
 // run opens watches, one at a time, until the process ends.
--- a/internal/node/endpointwatch_test.go
+++ b/internal/node/endpointwatch_test.go
@@ -30,11 +30,13 @@
 type serialDiscovery struct {
 	address                       string
 	calls                         atomic.Int64
-	waitingCalls, maxWaitingCalls atomic.Int64 // calls in the queue; both are for one node
+	waitingCalls, maxWaitingCalls atomic.Int64 // calls whose connection is open, and their maximum; for one node
 	queue                         chan func()
 	firstAnswered                 int64 // earlier calls are never answered and their connections stay open
 }
 
+// startSerialDiscovery starts a discovery service that needs turn for each call and answers with text. Calls before
+// number answerFromCall, counted from 1, are never answered.
 func startSerialDiscovery(t *testing.T, turn time.Duration, answerFromCall int64, text string) *serialDiscovery {
 	d := &serialDiscovery{queue: make(chan func(), 10000), firstAnswered: answerFromCall}
 	testEnded := make(chan struct{})
@@ -67,7 +69,8 @@
 	return d
 }
 
-// newNodeWithTenthDelays makes a node without an initial list whose delays are a tenth of the real ones.
+// newNodeWithTenthDelays makes a node without an initial list. Its delay before a parallel call is a tenth of the real
+// one, and it closes no watch as silent.
 func newNodeWithTenthDelays(t *testing.T, mode, discovery string) *Node {
 	n := newNode(t, func(c *Config) {
 		withSettings(`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, mode))(c)
@@ -158,8 +161,8 @@
 	eventually(t, "the list", func() bool { return n.count(listUpdates) == 1 })
 }
 
-// A watch whose head arrives at once and whose first event follows later must not be closed as silent; one whose first
-// event never arrives must be.
+// A watch whose head arrives at once and whose first event follows only after the silence timeout must not be closed as
+// silent; one whose first event never arrives must be replaced.
 func TestWatchWhoseHeadPrecedesItsFirstEvent(t *testing.T) {
 	answer := func(c net.Conn, chunk func(string)) {
 		chunk(listText(2, true, listEntry("s-0", "127.0.0.1:1", "up")) + "\n")
@@ -271,7 +274,7 @@
 	known := make(chan int)
 	n.loop.post(func() { known <- len(n.loop.endpoints) })
 	if count := <-known; count != servers || calls.Load() != 1 {
-		t.Errorf("got %d known endpoints after %d calls, want all after 1", count, calls.Load())
+		t.Errorf("got %d known endpoints after %d calls, want 120000 after 1", count, calls.Load())
 	}
 	if !n.overrides.isKnown("s-00000000") || !n.overrides.isKnown(fmt.Sprintf("s-%08x", servers-1)) {
 		t.Error("an endpoint of the list is not a known name, so operators can't disable it")
--- a/internal/node/gossip_test.go
+++ b/internal/node/gossip_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if got, err := new(gossip.Inbox).Open(0, buffer[:length], n.clock.nanos()); got != sent || err != nil {
-		t.Errorf("the peer received an unexpected message: %+v, %v", got, err)
+		t.Errorf("got message %+v and error %v at the peer, want the sent message and no error", got, err)
 	}
 	own := n.gossiper.socket.LocalAddr()
 	message := gossip.Encode(sent, n.clock.nanos())
--- a/internal/node/healthcheck.go
+++ b/internal/node/healthcheck.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxHealthChecks = 8        // in flight; further ones fail at once
+	maxHealthChecks = 8        // in flight; further ones are not sent
 	maxReportBytes  = 64 << 10 // maximum size of a load report
 )
 
-// checkHealth starts a health check and posts its result to the event loop, which is its caller. Beyond maxHealthChecks
-// in flight it only counts a failed one.
+// checkHealth starts a health check and posts its result to the event loop. If maxHealthChecks are already in flight,
+// it counts a failed one and posts nothing. It is called on the event loop.
 func (u *upstreams) checkHealth(target upstreamTarget) {
 	select {
 	case u.healthChecks <- struct{}{}:
--- a/internal/node/listgossip.go
+++ b/internal/node/listgossip.go
@@ -27,7 +27,7 @@
 	return &listGossip{node: n}
 }
 
-// start starts the exchange over the membership, with the node's initial list.
+// startExchange starts the exchange over the membership, with the node's initial list.
 func (g *listGossip) startExchange(seed uint64, transport endpointgossip.Transport) {
 	if g == nil {
 		return
@@ -45,7 +45,7 @@
 func (g *listGossip) primaryListUpdated(update listUpdate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.exchange == nil { // the membership has not started yet; start uses this list
+	if g.exchange == nil { // the membership has not started yet; startExchange will use this list
 		initial := &g.node.initialList
 		*initial = initialList{initial.merge(update), update.version, true}
 		g.node.loop.postEndpoints(update.entries, update.complete)
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -30,7 +30,7 @@
 
 // memberAgent runs the membership of package members on a UDP socket, in its own goroutines: if it fails, the node
 // loses its view of other nodes, but no request. It is nil where the settings don't allow messages between nodes, or
-// the features file configures no members. Methods may be called on a nil agent unless they say otherwise.
+// the features file configures no members. Only query, viewJSON, leave and end may be called on a nil agent.
 type memberAgent struct {
 	node       *Node
 	config     *features.Members
@@ -72,7 +72,7 @@
 	_, _ = a.socket.WriteToUDPAddrPort(datagram, a.config.Addresses[to]) // treated as a lost datagram
 }
 
-// run runs the membership until the process ends or a successor serves. It must not be called on a nil agent.
+// run runs the membership until the process ends or a successor serves.
 func (a *memberAgent) run() {
 	defer a.end()
 	if err := a.start(); err != nil {
--- a/internal/node/pacing_test.go
+++ b/internal/node/pacing_test.go
@@ -52,7 +52,7 @@
 		abandoned.Store(canceled)
 		pacer := &readPacer{stallTimeout: time.Hour, abandoned: &abandoned}
 		if err := pacer.beginRead(near); errors.Is(err, errBodyNotNeeded) != canceled {
-			t.Errorf("abandoned %t: got error %v, want errBodyAbandoned only if abandoned", canceled, err)
+			t.Errorf("abandoned %t: got error %v, want errBodyNotNeeded only if abandoned", canceled, err)
 		}
 	}
 }
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -32,7 +32,7 @@
 var errOpenTimeout = fmt.Errorf("store did not open within %v", openTimeout)
 
 // persistence holds the persisted state and its store. It is nil where the node has no state directory; the methods
-// used by a start, by list updates and at shutdown may then still be called.
+// used by a start, by list updates, by the membership and at shutdown may then still be called.
 type persistence struct {
 	node *Node
 	dir  string
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -11,7 +11,7 @@
 	"fawnglade/internal/store"
 )
 
-// faultyDisk is a directory whose syncs hang until hangs is unlocked, or fail.
+// faultyDisk is a directory whose syncs hang while hangs is locked, and fail while fails is set.
 type faultyDisk struct {
 	store.Directory
 	hangs sync.Mutex // while locked, no sync returns
--- a/internal/node/recovery.go
+++ b/internal/node/recovery.go
@@ -13,7 +13,7 @@
 // Uses of the persisted state: the endpoint list and the estimates at the start, and later the drains, which an older
 // list must not end. Package nodestate decides what is trusted.
 
-// endpoints returns the persisted list. Every endpoint counts as just started.
+// endpoints returns the persisted list without removed endpoints. Active ones count as just started.
 func (p *persistence) endpoints() []endpointEntry {
 	if p == nil {
 		return nil
@@ -21,7 +21,7 @@
 	return p.node.entriesFromPersisted(p.recovered.Endpoints)
 }
 
-// version returns the highest version of the persisted list; 0: there is none.
+// version returns the highest list version that was persisted before this start; 0: there is none.
 func (p *persistence) version() int64 {
 	if p == nil {
 		return 0
@@ -80,7 +80,7 @@
 	return updated
 }
 
-// applyDrains applies the persisted drains to entries of a list from discovery.
+// applyDrains applies the persisted drains to entries of a list that was not received by gossip.
 func (p *persistence) applyDrains(entries []endpointEntry, version int64) []endpointEntry {
 	return p.update(entries, func(endpoints []nodestate.Endpoint) []nodestate.Endpoint {
 		return p.state.ApplyDrains(endpoints, version)
--- a/internal/node/roundtrip.go
+++ b/internal/node/roundtrip.go
@@ -138,8 +138,8 @@
 	failure := t.attempt.errorAt(stage, err)
 	reused := !t.conn.idleSince.IsZero()
 	if failure.stage == fullyWritten && failure.outcome() == policy.OutcomeReset && reused {
-		// Guards against an upstream that was unreachable and is back: it resets each older connection only when that
-		// is used, and each reset would cost a request.
+		// An upstream that was unreachable and is back resets each older connection only when that connection is
+		// used. If the others stayed open, each would cost a request.
 		t.upstreams.closeIdle(t.attempt.target)
 	}
 	return failure
@@ -187,7 +187,7 @@
 	*http.Response
 	message    *message
 	stage      attemptStage  // how much of the request had been written when the head arrived
-	uploadTime time.Duration // how long the request body was being received
+	uploadTime time.Duration // see attemptResult.uploadTime
 }
 
 // result returns the attempt's result, without the response.
--- a/internal/node/roundtrip_test.go
+++ b/internal/node/roundtrip_test.go
@@ -118,7 +118,7 @@
 					attempts = 2 // the request is retried once at its only endpoint
 				}
 				if status != want || c.counted < counterCount && n.count(c.counted) != attempts {
-					t.Errorf("%s: got status %d, want %d; got the outcome counted %d times", class, status, want,
+					t.Errorf("%s: got status %d, want %d; got the outcome counted %d times, want once per attempt", class, status, want,
 						n.count(min(c.counted, panics)))
 				}
 				if (header.Get(headerRetryAfter) != "") != (status == 503) {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Guards against an upstream that was unreachable and is back: it resets each older connection only when that is used,
-// and each reset would cost a request.
+// Guards against losing one request per idle connection to an upstream that was unreachable and is back: it resets each
+// older connection only when that connection is used, so the first reset must close all of them.
 func TestResetClosesIdleConnectionsToUpstream(t *testing.T) {
 	var restarted atomic.Bool
 	var firstRequests sync.WaitGroup
@@ -228,7 +228,7 @@
 		sendRequest(t, n, "batch", "a", "")
 		idleOf(n)
 		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("got body %q while a duplicate response was due", body)
+			t.Errorf("got body %q while a duplicate response was due, want \"/batch b \"", body)
 		}
 		if conns.Load() != 2 {
 			t.Errorf("got %d connections, want 2: a new one for the second request", conns.Load())
@@ -242,7 +242,7 @@
 		duplicate.release()
 		eventually(t, "the duplicate response", c.hasInput)
 		if _, body, _ := sendRequest(t, n, "batch", "b", ""); body != "/batch b " {
-			t.Errorf("got body %q after a duplicate response had arrived", body)
+			t.Errorf("got body %q after a duplicate response had arrived, want \"/batch b \"", body)
 		}
 		if n.upstreams.lastExtraInputAt.Load() == 0 {
 			t.Error("the duplicate response was not recorded as extra input")
@@ -279,7 +279,7 @@
 					resets = 2 // the request is retried once at its only endpoint
 				}
 				if status, _, _ := sendRequest(t, n, class, "second", ""); status != want || requests.Load() != 1+resets {
-					t.Errorf("%s: got status %d, want %d; got %d requests at the upstream", class, status, want, requests.Load())
+					t.Errorf("%s: got status %d, want %d; got %d requests at the upstream, want the first and one per attempt", class, status, want, requests.Load())
 				}
 				if n.count(attemptsReset) != resets {
 					t.Errorf("%s: got %d resets, want one per attempt", class, n.count(attemptsReset))
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -84,7 +84,7 @@
 	return false
 }
 
-// close ends all components. The other process of a hot restart is notified after state has been written.
+// close ends all components. A successor is notified only after the last write of state has ended or timed out.
 func (n *Node) close() {
 	n.members.end()
 	n.persistence.close()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -57,7 +57,7 @@
 		}
 	}
 	clients.Wait()
-	if accepted := n.count(requestsAccepted); answered.Load()+3 != accepted {
+	if accepted := n.count(requestsAccepted); answered.Load()+3 != accepted { // 3: one on the new connection, two on the idle one
 		t.Errorf("got %d accepted requests and %d answered, want the same number", accepted, answered.Load()+3)
 	}
 	select {
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -95,7 +95,7 @@
 		close(hold)
 		done.Wait()
 		if statusCounts[200].Load() != 3+lent || atUpstream.Load() != 3+lent || n.count(attemptsNotSent) < 7-lent {
-			t.Errorf("with %d lent slots: got %d succeeded, %d at the upstream and %d not sent, want 3 more than lent for the first two", lent, statusCounts[200].Load(),
+			t.Errorf("with %d lent slots: got %d succeeded, %d at the upstream and %d not sent, want 3 plus the lent slots for the first two, and at least the other requests of 10 not sent", lent, statusCounts[200].Load(),
 				atUpstream.Load(), n.count(attemptsNotSent))
 		}
 	}
