--- a/internal/node/clientconn.go
+++ b/internal/node/clientconn.go
@@ -139,8 +139,8 @@
 	c.lastUsedAt = time.Now()
 }
 
-// hasNoPendingRequests reports that no response is due or being written, so that a 100 Continue can't end up in the
-// middle of one.
+// hasNoPendingRequests reports whether no response is due or being written. Otherwise a 100 Continue could end up in
+// the middle of a response.
 func (c *clientConn) hasNoPendingRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clientgone_test.go
+++ b/internal/node/clientgone_test.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// clientCloseMethods are the ways in which a client can close its connection. The protocol treats a
-// half-close as a disconnect.
+// clientCloseMethods are the ways in which a client can close its connection. The protocol treats a half-close as a
+// disconnect.
 var clientCloseMethods = map[string]func(c net.Conn){
 	"close":      func(c net.Conn) { c.Close() },
 	"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
@@ -369,8 +369,8 @@
 	a.attemptStarts[id] = append(a.attemptStarts[id], at)
 }
 
-// startFaultyUpstream starts an upstream whose seeded random faults are delays, errors, rejections and closed
-// connections.
+// startFaultyUpstream starts an upstream whose seeded random faults are delays, responses with status 500 or 503, and
+// closed connections.
 func (a *sessionLog) startFaultyUpstream(t *testing.T, seed uint64) string {
 	var mu sync.Mutex
 	draws := rand.New(rand.NewPCG(seed, 1))
@@ -512,6 +512,7 @@
 		"latest attempt %v after its client closed", attempts, retries,
 		len(sessions.clientLeftAt), notStarted, maxDelay)
 	if late > 0 || attempts < 200 || retries < 20 || notStarted < 50 {
-		t.Errorf("got %d late attempts, want 0; want at least 200 attempts, 20 retries, 50 unsent requests in the log above", late)
+		t.Errorf("got %d late attempts, want 0; want at least 200 attempts, 20 retries and 50 requests without an attempt in the log",
+			late)
 	}
 }
--- a/internal/node/effects.go
+++ b/internal/node/effects.go
@@ -39,7 +39,8 @@
 }
 
 // dedupDeadline returns the end of the deduplication window of the first attempt that may have run. A retry with the
-// same idempotency key must be sent before then. It returns 0 if no attempt may have run.
+// same idempotency key must be sent before then. It returns 0 if no attempt may have run, or if the request's class is
+// not idempotent by key.
 func (l *eventLoop) dedupDeadline(request *pendingRequest) (deadline policy.Time) {
 	class := l.node.settings.Policy.Classes[request.request.Class]
 	if class.Idempotency != policy.IdempotentByKey {
--- a/internal/node/eventloop_test.go
+++ b/internal/node/eventloop_test.go
@@ -89,7 +89,7 @@
 	}
 	handleEvents()
 	if len(n.loop.endpoints) != 1000 || n.loop.endpoints[4000].address != "" || n.loop.endpoints[5000].address == "" {
-		t.Errorf("after the second list: got %d endpoints, want its 1000", len(n.loop.endpoints))
+		t.Errorf("after the second list: got %d endpoints, want its 1000, without 4000 and with 5000", len(n.loop.endpoints))
 	}
 	n.loop.postEndpoints(nil, false)
 	if n.loop.postEndpoints(nil, true); handleEvents() != 2 || len(n.loop.endpoints) != 0 {
--- a/internal/node/evict.go
+++ b/internal/node/evict.go
@@ -39,7 +39,8 @@
 // evictIdleLocked evicts up to n idle connections in the order of compareEviction. A connection used within
 // recentUseWindow is spared while there are free slots and at least one connection without any request yet, even if
 // that one can't be closed yet. Without a free slot it is evicted as well: sparing it would leave only a few slots,
-// which all new connections would have to use one after another while their requests wait.
+// which all new connections would have to use one after another while their requests wait. Above the soft limit, or if
+// n includes all open connections, none is spared.
 func (f *frontend) evictIdleLocked(n int) {
 	now := time.Now()
 	idle, anyUnused := f.idleConnsLocked(now)
@@ -103,8 +104,9 @@
 	}
 }
 
-// idleLocked reports whether the connection has no pending request and is not reading one, or has read nothing of it
-// for messageStallTimeout. The caller holds c.mu.
+// idleLocked reports whether the connection can be evicted: it has no pending request, was last used more than
+// closeLinger ago, is not being closed, and is not reading a message or has received nothing of it for
+// messageStallTimeout. The caller holds c.mu.
 func (c *clientConn) idleLocked(now time.Time) bool {
 	if c.pendingCount > 0 || c.closed || c.evicting || now.Sub(c.lastUsedAt) <= closeLinger {
 		return false
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -79,11 +79,12 @@
 // clientSlotsLocked returns the number of slots for connections with requests that are not lent to upstreams.
 func (f *frontend) clientSlotsLocked() int { return f.maxOpen - int(f.slotsLentToUpstreams.Load()) }
 
-// fullLocked reports that no slot is free, not even a spare one.
+// fullLocked reports whether no slot is free, not even a spare one.
 func (f *frontend) fullLocked() bool { return len(f.open) >= f.clientSlotsLocked()+f.spareSlots }
 
-// overSoftLimitLocked reports that too many clients keep connections open after a request. The load balancers in front
-// of a node limit their connections to it; if idle clients held all of them, no other client could send a request.
+// overSoftLimitLocked reports whether too many clients keep connections open after a request. The load balancers in
+// front of a node limit their connections to it; if idle clients held all of them, no other client could send a
+// request.
 func (f *frontend) overSoftLimitLocked() bool { return int(f.usedConns.Load()) >= f.softLimit }
 
 // slotOffer is the result of lendSlotToUpstream.
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -25,7 +25,7 @@
 	for i := range 150 {
 		clients.Go(func() {
 			status, _, _ := sendRequest(t, n, "view", fmt.Sprint("t", i), "")
-			if status == 0 { // closed before the first byte of a slow client: clients retry then
+			if status == 0 { // closed before this client's first byte arrived; a client retries then
 				status, _, _ = sendRequest(t, n, "view", fmt.Sprint("t", i), "")
 			}
 			statusCounts[status].Add(1)
@@ -44,7 +44,7 @@
 }
 
 // Attempts without a free upstream slot get the slots of idle clients, up to maxSlotsLentToUpstreams, and the slots are
-// returned once they are not needed. Health checks get none.
+// returned once they are no longer needed. Health checks get none.
 func TestIdleClientSlotsAreLentToAttempts(t *testing.T) {
 	gate := newGate(t)
 	upstream, _ := startUpstream(t, echo)
@@ -90,6 +90,7 @@
 		n.upstreams.closeConn(c)
 	}
 	if n.upstreams.closeExpired(); n.frontend.slotsLentToUpstreams.Load() != 0 || n.frontend.capacity() != 8 {
-		t.Errorf("got %d slots lent after the attempts ended, want 0", n.frontend.slotsLentToUpstreams.Load())
+		t.Errorf("got %d slots lent after the attempts ended, want 0 and a client capacity of 8",
+			n.frontend.slotsLentToUpstreams.Load())
 	}
 }
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -82,14 +82,14 @@
 	return c
 }
 
-// allClientsClosed reports that clients have connected and all their connections are closed.
+// allClientsClosed reports whether clients have connected and all their connections are closed.
 func (n *Node) allClientsClosed() bool {
 	n.frontend.mu.Lock()
 	defer n.frontend.mu.Unlock()
 	return n.count(clientsAccepted) > 0 && len(n.frontend.open) == 0
 }
 
-// allAttemptsEnded reports that no attempt is in flight.
+// allAttemptsEnded reports whether no attempt is in flight.
 func (n *Node) allAttemptsEnded() bool {
 	ended := int64(0)
 	for _, id := range outcomeCounters {
--- a/internal/node/helper_test.go
+++ b/internal/node/helper_test.go
@@ -40,8 +40,8 @@
 	return body
 }
 
-// lenientSettings are settings with which the policy doesn't eject an upstream for its delay in generating a random
-// body.
+// lenientSettings changes the settings so that the policy doesn't eject an upstream for its delay in generating a
+// random body.
 func lenientSettings(c *Config) {
 	c.Settings = json.RawMessage(strings.Replace(settingsText, `"quantum_us":2000`, `"quantum_us":1000000`, 1))
 }
--- a/internal/node/httpmessage_test.go
+++ b/internal/node/httpmessage_test.go
@@ -8,7 +8,8 @@
 	"testing/quick"
 )
 
-// Parsing gives the same message for every segmentation into reads, and a malformed message ends in an error.
+// Parsing gives the same message for every segmentation into reads. A corrupted message ends in an error, or in a body
+// that is not longer than the original.
 func TestParsingIsIndependentOfSegmentation(t *testing.T) {
 	property := func(body []byte, chunked, corrupt bool, segments []uint8) bool {
 		text := fmt.Sprintf("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/internal/node/requestread_test.go
+++ b/internal/node/requestread_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// A client that stalls, sends a malformed or too long body, or closes within a long body gets an error or a close. Its
-// request is never executed and other clients are not affected.
+// A client that stalls or sends a malformed or too long body gets an error response, and the request of a client that
+// closes within a long body is canceled. None of these requests is executed, and other clients are not affected.
 func TestIncompleteRequestBodyIsRejected(t *testing.T) {
 	upstream, requests := startDigestUpstream(t)
 	n := startNode(t, lenientSettings, upstream)
@@ -186,7 +186,7 @@
 	for _, client := range clients {
 		writeBytes(client.c, body[minBufferedBody:])
 	}
-	for _, client := range clients { // a slow machine may reject some, but the bodies must not be mixed up
+	for _, client := range clients { // on a slow machine the node may reject some, but it must not mix up the bodies
 		if status, answer, _ := readResponse(client.in); status != 503 && answer != digestOf(body) {
 			t.Errorf("got status %d, body %.60q, want the digest of the body, or status 503", status, answer)
 		}
--- a/internal/node/rules_test.go
+++ b/internal/node/rules_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// Checks the invariants with upstreams that fail in every way and clients that close early: each client that waits gets
-// exactly one response, its own; a non-idempotent request runs at most once; and a rejected request has not run, unless
-// it is idempotent.
+// Checks the invariants with upstreams that reject requests, fail or respond late, and clients that close early: each
+// client that waits gets exactly one response, its own; a non-idempotent request runs at most once; and a rejected
+// request has not run, unless it is idempotent.
 func TestInvariantsOnSockets(t *testing.T) {
 	var mu sync.Mutex
 	runs := map[string]int{}
@@ -104,7 +104,8 @@
 		ranTwice := c == "pay" && runs[id] > 1
 		ranAlthoughRejected := c != "view" && status == 503 && runs[id] > 0
 		if ranTwice || ranAlthoughRejected || status == 200 && runs[id] == 0 {
-			t.Errorf("request %s of class %s: status %d and %d executions violate the invariants", id, c, status, runs[id])
+			t.Errorf("request %s of class %s: got status %d and %d executions, want at most 1 for pay, 0 after 503 except for view, at least 1 with 200",
+				id, c, status, runs[id])
 		}
 	}
 	if statusCounts[200] < 20 || statusCounts[502]+statusCounts[503] < 5 {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// reload reads the configuration file again. Only the discovery address can change while the node runs; other changed
-// keys are logged as taking effect after a restart. An invalid file changes nothing.
+// reload reads the configuration file again. Only the discovery address can change while the node runs; the keys that
+// changedKeys returns are logged as taking effect only after a restart. An invalid file changes nothing.
 func (n *Node) reload() {
 	reloaded, err := ReadConfig(n.config.path)
 	if err != nil {
@@ -64,7 +64,8 @@
 	n.endpointWatch.setAddress(reloaded.Discovery)
 }
 
-// changedKeys returns the keys that differ in another configuration and take effect only after a restart.
+// changedKeys returns which of the keys listen, limits, settings, news and console differ in another configuration.
+// They take effect only after a restart.
 func (c *Config) changedKeys(other *Config) []string {
 	var changed []string
 	for key, same := range map[string]bool{
